--- a/internal/gossiper/bench_test.go
+++ b/internal/gossiper/bench_test.go
@@ -6,13 +6,14 @@
 	"testing"
 )
 
-// BenchmarkTick measures the periodic work of one member, five times a second, as members grow.
+// BenchmarkTick measures the periodic work of one member, which is done five times a second, for a growing
+// number of members.
 func BenchmarkTick(b *testing.B) {
 	for _, count := range []int{50, 100, 200, 650} {
 		b.Run(strconv.Itoa(count), func(b *testing.B) {
 			n := newNetwork(b, count)
-			g := n.views[name(1)]
-			n.loss = 1
+			g := n.gossipers[memberName(1)]
+			n.lossRate = 1
 			for len(g.updates) > 0 {
 				g.Tick()
 			}
@@ -27,13 +28,13 @@
 	}
 }
 
-// BenchmarkReceive measures one datagram with a full load of member records.
+// BenchmarkReceive measures the processing of one datagram with the largest number of member records.
 func BenchmarkReceive(b *testing.B) {
 	n := newNetwork(b, 50)
-	g := n.views[name(1)]
-	p := &Packet{Kind: KindAck, Sender: name(2)}
+	g := n.gossipers[memberName(1)]
+	p := &Packet{Kind: KindAck, Sender: memberName(2)}
 	for i := range maxPiggyback {
-		p.Members = append(p.Members, n.views[name(10+i)].Self())
+		p.Members = append(p.Members, n.gossipers[memberName(10+i)].Self())
 	}
 	data, err := n.codec.Encode(p)
 	if err != nil {
@@ -41,11 +42,11 @@
 	}
 	b.ReportMetric(float64(len(data)), "datagram-B")
 	for range b.N {
-		g.Receive(address(2), data)
+		g.Receive(memberAddress(2), data)
 	}
 }
 
-// BenchmarkRecord measures the memory of one member's record in one view.
+// BenchmarkRecord measures the heap bytes of one member's record in one view.
 func BenchmarkRecord(b *testing.B) {
 	for _, count := range []int{100, 200} {
 		b.Run(strconv.Itoa(count), func(b *testing.B) {
@@ -54,7 +55,7 @@
 				var before, after runtime.MemStats
 				runtime.ReadMemStats(&before)
 				n := newNetwork(b, count)
-				for _, g := range n.views {
+				for _, g := range n.gossipers {
 					clear(g.updates)
 					g.changed, g.outbox = nil, nil
 				}
--- a/internal/gossiper/sync.go
+++ b/internal/gossiper/digest.go
@@ -9,11 +9,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Buckets is the number of parts that two views are compared in.
-const Buckets = 32
+// DigestBuckets is the number of hash buckets in which two views are compared.
+const DigestBuckets = 32
 
 // Digest summarises a view: one hash for each bucket of members. Equal views have equal digests.
-type Digest [Buckets]uint64
+type Digest [DigestBuckets]uint64
 
 // MarshalText implements encoding.TextMarshaler: the hashes in base 64, 8 bytes each.
 func (d Digest) MarshalText() ([]byte, error) {
@@ -24,11 +24,11 @@
 	return base64.StdEncoding.AppendEncode(nil, data), nil
 }
 
-// UnmarshalText implements encoding.TextUnmarshaler.
+// UnmarshalText implements encoding.TextUnmarshaler. The error wraps ErrMalformed.
 func (d *Digest) UnmarshalText(text []byte) error {
 	data, err := base64.StdEncoding.AppendDecode(nil, text)
-	if err != nil || len(data) != 8*Buckets {
-		return fmt.Errorf("%w: digest of %d bytes", ErrMalformed, len(text))
+	if err != nil || len(data) != 8*DigestBuckets {
+		return fmt.Errorf("%w: invalid digest of %d characters", ErrMalformed, len(text))
 	}
 	for i := range d {
 		d[i] = binary.LittleEndian.Uint64(data[8*i:])
@@ -36,10 +36,12 @@
 	return nil
 }
 
-func bucketOf(name string) int {
-	return int(xxhash.Sum64String(name) % Buckets)
+// bucketIndex returns the bucket of the named member.
+func bucketIndex(name string) int {
+	return int(xxhash.Sum64String(name) % DigestBuckets)
 }
 
+// hash returns the hash of the name and of all that isNewer compares.
 func (m *Member) hash() uint64 {
 	data := []byte(m.Name)
 	data = binary.LittleEndian.AppendUint64(data, m.Incarnation)
@@ -48,45 +50,47 @@
 	return xxhash.Sum64(data)
 }
 
-// Digest returns the digest of the view.
+// Digest returns the digest of the current view.
 func (g *Gossiper) Digest() Digest {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var digest Digest
 	for name, m := range g.members {
-		digest[bucketOf(name)] ^= m.hash()
+		digest[bucketIndex(name)] ^= m.hash()
 	}
 	return digest
 }
 
-// Differing returns the members in the buckets in which the view differs from theirs.
-func (g *Gossiper) Differing(theirs Digest) []Member {
+// Differing returns the records in the buckets in which the view differs from that of the remote digest.
+func (g *Gossiper) Differing(remote Digest) []Member {
 	own := g.Digest()
 	var members []Member
 	for _, m := range g.Members() {
-		bucket := bucketOf(m.Name)
-		if own[bucket] != theirs[bucket] {
+		bucket := bucketIndex(m.Name)
+		if own[bucket] != remote[bucket] {
 			members = append(members, m)
 		}
 	}
 	return members
 }
 
-// bulk is the number of records above which a comparison's result is not spread any further: the
-// others compare their own views.
-const bulk = 20
+// maxSpreadRecords is the number of records above which Merge does not spread the records any further,
+// because the other members compare their own views.
+const maxSpreadRecords = 20
 
-// Merge takes the newer of the given records into the view.
+// Merge stores those of the records from another member's view that are newer than the local ones. Invalid
+// records are ignored. The stored records are spread to other members unless more than maxSpreadRecords were
+// given.
 func (g *Gossiper) Merge(members []Member) {
 	g.mu.Lock()
 	pending := maps.Clone(g.updates)
 	for i := range members {
-		if isPlausible(&members[i]) {
+		if isValidRecord(&members[i]) {
 			g.merge(members[i])
 		}
 	}
-	if len(members) > bulk {
+	if len(members) > maxSpreadRecords {
 		g.updates = pending
 	}
-	g.flush()
+	g.unlockAndFlush()
 }
--- a/internal/gossiper/gossiper.go
+++ b/internal/gossiper/gossiper.go
@@ -1,5 +1,6 @@
-// Package gossiper keeps the list of members. It detects failures and spreads changes as SWIM does
-// (Das, Gupta and Motivala, 2002), with suspicion before death and incarnations that refute it.
+// Package gossiper maintains the membership list of the nodes. It implements failure detection and
+// dissemination of changes as in SWIM (Das, Gupta and Motivala, 2002): a member is suspected before it
+// is declared dead, and refutes a suspicion with a record of a higher sequence number or incarnation.
 package gossiper
 
 import (
@@ -14,49 +15,62 @@
 	"github.com/marigoldrelay/marigoldrelay/pkg/announcer"
 )
 
-// TickInterval is how often the owner calls Tick.
+// TickInterval is the interval at which the owner of a Gossiper must call Tick.
 const TickInterval = 200 * time.Millisecond
 
 const (
-	ackTimeout       = 400 * time.Millisecond
-	bytesPerRecord   = 150
-	deadKeepTime     = 3 * time.Hour
-	fanout           = 3
-	indirectHelpers  = 3
-	maxPiggyback     = 6
-	nearPart         = 0.75
-	probeInterval    = time.Second
-	reconnectTicks   = 50
+	// ackTimeout is how long a direct ping waits for its ack before other members are asked to ping.
+	ackTimeout = 400 * time.Millisecond
+	// bytesPerRecord is the size that the budget is charged for each member record in an update packet.
+	bytesPerRecord = 150
+	// deadRetention is how long the record of a dead or left member is kept.
+	deadRetention = 3 * time.Hour
+	// fanout is the number of random members that each tick sends updates to.
+	fanout = 3
+	// indirectProbers is the number of members that are asked to ping a member that does not answer.
+	indirectProbers = 3
+	// maxPiggyback is the largest number of member records in a packet.
+	maxPiggyback = 6
+	// localProbeShare is the share of probes that goes to members of the same data centre.
+	localProbeShare = 0.75
+	// probeInterval is the time between two probes, and the total time a probe has for its ack.
+	probeInterval = time.Second
+	// reconnectTicks is the number of ticks between two calls of reconnect.
+	reconnectTicks = 50
+	// retransmitFactor scales the number of times that an update is sent; see maxRetransmits.
 	retransmitFactor = 4
+	// suspectPingTicks is the number of ticks between two pings of a suspect member.
 	suspectPingTicks = 5
-	suspicionBase    = 4 * time.Second
+	// suspicionBase is the suspicion timeout of a network of up to 10 members; see suspicionTimeout.
+	suspicionBase = 4 * time.Second
 )
 
-// Transport sends one datagram. It may be lost.
+// Transport sends datagrams to other members. Delivery is not guaranteed.
 type Transport interface {
 	Send(to netip.AddrPort, datagram []byte)
 }
 
-// Observer is told of changes, without a lock held.
+// Observer receives the events of a Gossiper. Its methods are called without a lock held.
 type Observer interface {
-	// LoadSeen follows each packet that tells the load of a member's upstream.
+	// LoadSeen is called for each packet that carries the load of a member's upstream.
 	LoadSeen(from Member, load Load)
-	// MemberChanged follows each change of a member's record.
+	// MemberChanged is called after each change of a member's record.
 	MemberChanged(m Member)
-	// ViewDiffers follows a packet from a member whose view is not the own, while no change is
-	// being spread.
+	// ViewDiffers is called for a packet from a member whose membership list differs from the local
+	// one, while no update is waiting to be sent.
 	ViewDiffers(from Member)
-	// VersionSeen follows each packet that names a document version.
+	// VersionSeen is called with the document version in each packet from a known member, except for
+	// packets of KindLoad. The version is zero if the member has no document in force.
 	VersionSeen(from Member, version uint64)
 }
 
-// Budget allows control bytes to be sent.
+// Budget limits the rate of control traffic.
 type Budget interface {
-	// Allows reports whether so many bytes may be sent now.
+	// Allows reports whether the given number of bytes can be sent now.
 	Allows(bytes int) bool
 }
 
-// Config holds the dependencies of a Gossiper.
+// Config holds the dependencies of a Gossiper and the member's own initial record.
 type Config struct {
 	Budget    Budget
 	Clock     timekeeper.Clock
@@ -68,7 +82,8 @@
 	Transport Transport
 }
 
-// Gossiper is one member's view of all. It is safe for concurrent use.
+// Gossiper holds one member's view: the records of all members that it knows of. It is safe for
+// concurrent use.
 type Gossiper struct {
 	budget    Budget
 	clock     timekeeper.Clock
@@ -78,56 +93,76 @@
 	seeds     []netip.AddrPort
 	transport Transport
 
-	mu        sync.Mutex
-	changed   []Member
-	counters  Counters
-	due       []string
-	lastProbe time.Time
-	left      bool
-	members   map[string]*entry
-	order     int
-	outbox    []datagram
-	probes    map[uint64]*probe
-	relays    map[uint64]relay
-	seen      []versionSeen
-	self      string
-	sequence  uint64
-	ticks     int
-	updates   map[string]*update
-	version   uint64
-	// versionSends is how often the version is still sent on its own.
-	versionSends int
-	view         uint64
+	mu sync.Mutex
+	// changed holds the changed records that the observer has not received yet.
+	changed  []Member
+	counters Counters
+	// probeQueue holds the names of the members still to be probed in this round.
+	probeQueue []string
+	lastProbe  time.Time
+	hasLeft    bool
+	members    map[string]*entry
+	// lastOrder is the order number of the newest update.
+	lastOrder int
+	// outbox holds the datagrams to be sent when mu is released.
+	outbox []datagram
+	// probes holds the unacknowledged probes by sequence number.
+	probes map[uint64]*probe
+	// relays holds the unacknowledged pings on behalf of other members by sequence number.
+	relays map[uint64]relay
+	// senderStates holds what the observer has not received yet of the senders of packets.
+	senderStates []senderState
+	self         string
+	sequence     uint64
+	ticks        int
+	// updates holds the records that are still being spread, by member name.
+	updates map[string]*update
+	version uint64
+	// versionSendsLeft is the number of ticks that still send the version without any pending update.
+	versionSendsLeft int
+	// viewHash is the XOR of the hashes of all records.
+	viewHash uint64
 }
 
-// Counters tell what the gossiper has done.
+// Counters holds the totals of a Gossiper since it was created.
 type Counters struct {
-	BytesSent   uint64
-	Deaths      uint64
-	Malformed   uint64
+	BytesSent uint64
+	// Deaths counts the members that this member has declared dead itself.
+	Deaths uint64
+	// Malformed counts the received datagrams that could not be decoded.
+	Malformed uint64
+	// OverBudget counts the times that the budget cut the spreading of updates short.
 	OverBudget  uint64
 	PacketsSent uint64
+	// Refutations counts the records of this member that it has overridden with a newer one.
 	Refutations uint64
-	Suspicions  uint64
+	// Suspicions counts the members that this member has begun to suspect itself.
+	Suspicions uint64
 }
 
+// entry is a member's record in the view.
 type entry struct {
 	Member
+	// since is when the record was stored. A packet from a suspect member resets it, which restarts the
+	// suspicion timeout.
 	since time.Time
 }
 
+// datagram is an encoded packet in the outbox.
 type datagram struct {
 	data []byte
 	to   netip.AddrPort
 }
 
-type versionSeen struct {
-	differs bool
-	from    Member
-	version uint64
+// senderState is what a received packet reveals of its sender: the document version and whether its
+// view differs from the local one.
+type senderState struct {
+	viewDiffers bool
+	from        Member
+	version     uint64
 }
 
-// New returns a gossiper that knows only itself and its seeds.
+// New returns a gossiper that knows only its own member and the addresses of its seeds.
 func New(config Config) *Gossiper {
 	g := &Gossiper{
 		budget:    config.Budget,
@@ -148,12 +183,12 @@
 	return g
 }
 
-// Tick does the periodic work: probes, timeouts and spreading of updates.
+// Tick does the periodic work: probes, timeouts, reconnects and spreading of updates.
 func (g *Gossiper) Tick() {
 	g.mu.Lock()
 	now := g.clock.Now()
 	g.ticks++
-	if !g.left {
+	if !g.hasLeft {
 		g.checkProbes(now)
 		g.checkSuspects(now)
 		if now.Sub(g.lastProbe) >= probeInterval {
@@ -165,10 +200,10 @@
 		}
 	}
 	g.spread()
-	g.flush()
+	g.unlockAndFlush()
 }
 
-// Receive takes one datagram from the network.
+// Receive processes one datagram from the network. A malformed datagram is counted and ignored.
 func (g *Gossiper) Receive(from netip.AddrPort, data []byte) {
 	p, err := g.codec.Decode(data)
 	g.mu.Lock()
@@ -191,21 +226,22 @@
 	}
 	if sender, ok := g.members[p.Sender]; ok {
 		if sender.Status == StatusSuspect {
-			// It is well, and must hear what is said of it to refute it.
+			// The sender is alive and has to receive the suspicion to refute it.
 			sender.since = now
-			g.send(sender.Control, &Packet{Kind: KindUpdate, Members: []Member{sender.Member}})
+			g.enqueue(sender.Control, &Packet{Kind: KindUpdate, Members: []Member{sender.Member}})
 		}
-		differs := p.View != 0 && p.View != g.view && len(g.updates) == 0
-		g.seen = append(g.seen, versionSeen{differs, sender.Member, p.Version})
+		viewDiffers := p.ViewHash != 0 && p.ViewHash != g.viewHash && len(g.updates) == 0
+		g.senderStates = append(g.senderStates, senderState{viewDiffers, sender.Member, p.Version})
 	}
 	g.handle(now, from, p)
-	g.flush()
+	g.unlockAndFlush()
 }
 
-// flush sends what the locked section produced and tells the observer, without the lock.
-func (g *Gossiper) flush() {
-	outbox, changed, seen := g.outbox, g.changed, g.seen
-	g.outbox, g.changed, g.seen = nil, nil, nil
+// unlockAndFlush releases mu, sends the queued datagrams and passes the collected events to the
+// observer.
+func (g *Gossiper) unlockAndFlush() {
+	outbox, changed, senderStates := g.outbox, g.changed, g.senderStates
+	g.outbox, g.changed, g.senderStates = nil, nil, nil
 	g.mu.Unlock()
 	for _, d := range outbox {
 		g.transport.Send(d.to, d.data)
@@ -213,27 +249,29 @@
 	for _, m := range changed {
 		g.observer.MemberChanged(m)
 	}
-	for _, v := range seen {
+	for _, v := range senderStates {
 		g.observer.VersionSeen(v.from, v.version)
-		if v.differs {
+		if v.viewDiffers {
 			g.observer.ViewDiffers(v.from)
 		}
 	}
 }
 
+// handle processes the parts of a packet that depend on its kind.
 func (g *Gossiper) handle(now time.Time, from netip.AddrPort, p *Packet) {
 	switch p.Kind {
 	case KindPing:
-		g.send(from, &Packet{Kind: KindAck, Sequence: p.Sequence})
+		g.enqueue(from, &Packet{Kind: KindAck, Sequence: p.Sequence})
 	case KindAck:
-		g.acked(now, p.Sequence)
+		g.handleAck(now, p.Sequence)
 	case KindIndirectPing:
 		g.relayPing(now, from, p)
 	case KindUpdate:
 	}
 }
 
-// SetUpstream changes what the member says of the upstream beside it.
+// SetUpstream updates the service, slots and state of the local upstream in the member's own record and
+// spreads the change.
 func (g *Gossiper) SetUpstream(service string, slots int, state announcer.State) {
 	g.mu.Lock()
 	self := g.members[g.self].Member
@@ -244,21 +282,23 @@
 	g.put(self)
 	g.changed = append(g.changed, self)
 	g.spread()
-	g.flush()
+	g.unlockAndFlush()
 }
 
-// SetVersion changes the document version that the member says it has in force.
+// SetVersion sets the document version that the member reports as in force. The version must not
+// decrease.
 func (g *Gossiper) SetVersion(version uint64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	asserter.That(version >= g.version, "gossip-version", "%d after %d", version, g.version)
+	asserter.That(version >= g.version, "gossip-version", "version %d after version %d", version, g.version)
 	if version > g.version {
 		g.version = version
-		g.versionSends = g.retransmits()
+		g.versionSendsLeft = g.maxRetransmits()
 	}
 }
 
-// TellLoad sends the load of the own upstream to the named members.
+// TellLoad sends the load of the local upstream to the named members, in one packet each without
+// acknowledgement. Unknown names and the member's own are skipped.
 func (g *Gossiper) TellLoad(to []string, load Load) {
 	data, err := g.codec.Encode(&Packet{Kind: KindLoad, Sender: g.self, Load: &load})
 	if err != nil {
@@ -270,27 +310,28 @@
 			g.outbox = append(g.outbox, datagram{data: data, to: m.Control})
 		}
 	}
-	g.flush()
+	g.unlockAndFlush()
 }
 
-// AddSeeds adds addresses to try where no other member can be reached.
+// AddSeeds adds addresses to the seeds, which are pinged from time to time unless an alive member is known
+// at the address.
 func (g *Gossiper) AddSeeds(seeds []netip.AddrPort) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.seeds = append(slices.Clone(g.seeds), seeds...)
 }
 
-// Leave tells the others that the member goes on purpose.
+// Leave announces to other members that this member is leaving on purpose, and stops probing them.
 func (g *Gossiper) Leave() {
 	g.mu.Lock()
-	g.left = true
+	g.hasLeft = true
 	self := g.members[g.self].Member
 	self.Status = StatusLeft
 	self.Sequence++
 	g.put(self)
 	g.spread()
 	g.spread()
-	g.flush()
+	g.unlockAndFlush()
 }
 
 // Self returns the member's own record.
@@ -311,7 +352,8 @@
 	return m.Member, true
 }
 
-// Record is a member with the time for which its status has held.
+// Record is a member's record with its age: the time since the record last changed or, for a suspect
+// member, since the last packet from it.
 type Record struct {
 	Member
 	Age time.Duration
@@ -341,7 +383,7 @@
 	return members
 }
 
-// Counters returns what the gossiper has done so far.
+// Counters returns a copy of the totals so far.
 func (g *Gossiper) Counters() Counters {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/gossiper/gossiper_test.go
+++ b/internal/gossiper/gossiper_test.go
@@ -9,96 +9,100 @@
 	"github.com/marigoldrelay/marigoldrelay/pkg/announcer"
 )
 
-var members = flag.Int("members", 100, "members of the largest network")
+var memberCount = flag.Int("members", 100, "members of the largest network")
 
-// drainTime is how long a leaving server may still be sent requests.
-const drainTime = 3 * time.Second
+// maxDrainDelay is the limit on the time for which a draining server can still be sent requests.
+const maxDrainDelay = 3 * time.Second
 
-// inForceTime is the bound on the time until a version is in force at all members.
-const inForceTime = 17 * time.Second
+// maxInForceDelay is the limit on the time until a document version is in force at all members.
+const maxInForceDelay = 17 * time.Second
 
+// TestSpreading guards against changes that reach some members late or never: a drain, a new document
+// version, a killed member and its restart, with and without datagram loss.
 func TestSpreading(t *testing.T) {
-	for _, loss := range []float64{0, 0.1} {
-		t.Run(fmt.Sprintf("%d members, loss %.1f", *members, loss), func(t *testing.T) {
-			n := newNetwork(t, *members)
+	for _, lossRate := range []float64{0, 0.1} {
+		t.Run(fmt.Sprintf("%d members, loss %.1f", *memberCount, lossRate), func(t *testing.T) {
+			n := newNetwork(t, *memberCount)
 			n.run(20 * time.Second)
-			n.loss = loss
+			n.lossRate = lossRate
 
-			n.views[name(5)].SetUpstream("s5", 12, announcer.StateDraining)
-			drained, ok := n.until(drainTime, func(g *Gossiper) bool {
-				m, _ := g.Member(name(5))
+			n.gossipers[memberName(5)].SetUpstream("s5", 12, announcer.StateDraining)
+			drained, ok := n.runUntil(maxDrainDelay, func(g *Gossiper) bool {
+				m, _ := g.Member(memberName(5))
 				return m.Upstream == announcer.StateDraining
 			})
-			t.Logf("all know of a drain after %s", drained)
+			t.Logf("all members know of the drain after %s", drained)
 			if !ok {
-				t.Errorf("not all know of a drain after %s", drainTime)
+				t.Errorf("some members do not know of the drain after %s", maxDrainDelay)
 			}
 
-			n.views[name(9)].SetVersion(7)
-			forced, ok := n.until(inForceTime, func(g *Gossiper) bool { return g.version == 7 })
-			t.Logf("a version is in force after %s", forced)
+			n.gossipers[memberName(9)].SetVersion(7)
+			inForce, ok := n.runUntil(maxInForceDelay, func(g *Gossiper) bool { return g.version == 7 })
+			t.Logf("the version is in force after %s", inForce)
 			if !ok {
-				t.Errorf("a version is not in force after %s", inForceTime)
+				t.Errorf("the version is not in force at all members after %s", maxInForceDelay)
 			}
 
 			restartFifth(t, n)
 
-			n.stopped[name(11)] = true
-			dead, ok := n.until(time.Minute, func(g *Gossiper) bool {
-				m, _ := g.Member(name(11))
+			n.stopped[memberName(11)] = true
+			dead, ok := n.runUntil(time.Minute, func(g *Gossiper) bool {
+				m, _ := g.Member(memberName(11))
 				return m.Status >= StatusDead
 			})
-			t.Logf("all know of a kill after %s", dead)
+			t.Logf("all members know of the kill after %s", dead)
 			if !ok {
-				t.Error("not all know of a kill after a minute")
+				t.Error("some members do not know of the kill after a minute")
 			}
 
-			n.stopped[name(11)] = false
+			n.stopped[memberName(11)] = false
 			n.add(11, 2)
-			back, ok := n.until(time.Minute, func(g *Gossiper) bool {
-				m, _ := g.Member(name(11))
+			rejoined, ok := n.runUntil(time.Minute, func(g *Gossiper) bool {
+				m, _ := g.Member(memberName(11))
 				return m.Status == StatusAlive && m.Incarnation == 2
 			})
-			t.Logf("all know of a restart after %s", back)
+			t.Logf("all members know of the restart after %s", rejoined)
 			if !ok {
-				t.Error("not all know of a restart after a minute")
+				t.Error("some members do not know of the restart after a minute")
 			}
 		})
 	}
 }
 
-// restartFifth stops a fifth of the members, changes the document, and starts them again.
+// restartFifth stops a fifth of the members, changes the document version, starts them again and checks that
+// they get the version in time.
 func restartFifth(t *testing.T, n *network) {
 	t.Helper()
-	for i := 20; i < 20+*members/5; i++ {
-		n.stopped[name(i)] = true
+	for i := 20; i < 20+*memberCount/5; i++ {
+		n.stopped[memberName(i)] = true
 	}
-	n.views[name(9)].SetVersion(8)
+	n.gossipers[memberName(9)].SetVersion(8)
 	n.run(time.Second)
-	for i := 20; i < 20+*members/5; i++ {
-		n.stopped[name(i)] = false
+	for i := 20; i < 20+*memberCount/5; i++ {
+		n.stopped[memberName(i)] = false
 		n.add(i, 2)
 	}
-	forced, ok := n.until(inForceTime, func(g *Gossiper) bool { return g.version == 8 })
-	t.Logf("with a fifth restarted, a version is in force after %s more", forced)
+	inForce, ok := n.runUntil(maxInForceDelay, func(g *Gossiper) bool { return g.version == 8 })
+	t.Logf("with a fifth of the members restarted, the version is in force after %s more", inForce)
 	if !ok {
-		t.Errorf("with a fifth restarted, a version is not in force after %s", inForceTime)
+		t.Errorf("with a fifth of the members restarted, the version is not in force at all members after %s", maxInForceDelay)
 	}
 	n.run(20 * time.Second)
 }
 
-// TestFalseDeaths runs members that are all well over a network that loses datagrams.
+// TestFalseDeaths guards against running members being declared dead because datagrams are lost, and against
+// suspicions that outlast the loss.
 func TestFalseDeaths(t *testing.T) {
-	for _, loss := range []float64{0.1, 0.3} {
+	for _, lossRate := range []float64{0.1, 0.3} {
 		n := newNetwork(t, 60)
 		n.run(10 * time.Second)
-		n.loss = loss
+		n.lossRate = lossRate
 		n.run(2 * time.Minute)
-		deaths := n.sum(func(c Counters) uint64 { return c.Deaths })
-		suspicions := n.sum(func(c Counters) uint64 { return c.Suspicions })
-		t.Logf("loss %.1f: %d suspicions and %d false deaths in 2 minutes of 60 members", loss, suspicions, deaths)
-		if loss <= 0.1 && deaths > 0 {
-			t.Errorf("%d members that are well were declared dead", deaths)
+		deaths := n.sumCounters(func(c Counters) uint64 { return c.Deaths })
+		suspicions := n.sumCounters(func(c Counters) uint64 { return c.Suspicions })
+		t.Logf("loss %.1f: %d suspicions and %d false deaths in 2 minutes of 60 members", lossRate, suspicions, deaths)
+		if lossRate <= 0.1 && deaths > 0 {
+			t.Errorf("%d running members were declared dead", deaths)
 		}
 		alive := func(g *Gossiper) bool {
 			for _, m := range g.Members() {
@@ -108,33 +112,34 @@
 			}
 			return true
 		}
-		n.loss = 0
-		if _, ok := n.until(2*time.Minute, alive); !ok {
-			t.Errorf("loss %.1f: not all are known alive 2 minutes after the loss ended", loss)
+		n.lossRate = 0
+		if _, ok := n.runUntil(2*time.Minute, alive); !ok {
+			t.Errorf("loss %.1f: some members are not known as alive 2 minutes after the loss ended", lossRate)
 		}
 	}
 }
 
-// TestRegionCutOff cuts a third of the members off for an hour. Both sides must be one again soon.
+// TestRegionCutOff guards against a network partition that outlasts its cause: a third of the members is cut
+// off for an hour, after which both sides must know each other as alive again within 5 minutes.
 func TestRegionCutOff(t *testing.T) {
 	n := newNetwork(t, 21)
 	n.run(10 * time.Second)
 	for i := range 7 {
-		n.sides[name(3*i)] = 1
+		n.partition[memberName(3*i)] = 1
 	}
 	n.run(time.Hour)
-	apart := n.views[name(1)].Members()
+	members := n.gossipers[memberName(1)].Members()
 	dead := 0
-	for _, m := range apart {
+	for _, m := range members {
 		if m.Status == StatusDead {
 			dead++
 		}
 	}
 	if dead != 7 {
-		t.Errorf("%d members are dead to the other side, want 7", dead)
+		t.Errorf("%d members count as dead on the other side, want 7", dead)
 	}
-	clear(n.sides)
-	healed, ok := n.until(5*time.Minute, func(g *Gossiper) bool {
+	clear(n.partition)
+	healed, ok := n.runUntil(5*time.Minute, func(g *Gossiper) bool {
 		for _, m := range g.Members() {
 			if m.Status != StatusAlive {
 				return false
@@ -142,53 +147,57 @@
 		}
 		return true
 	})
-	t.Logf("one again after %s", healed)
+	t.Logf("all members know each other as alive after %s", healed)
 	if !ok {
-		t.Error("not one again after 5 minutes")
+		t.Error("some members are not known as alive 5 minutes after the partition ended")
 	}
 }
 
-// TestQuietBytes measures the slope of the control bytes with the number of members.
+// TestQuietBytes guards against control traffic above the share of its budget while nothing changes, for a
+// growing number of members.
 func TestQuietBytes(t *testing.T) {
-	for _, count := range []int{25, 50, *members} {
+	for _, count := range []int{25, 50, *memberCount} {
 		n := newNetwork(t, count)
 		n.run(30 * time.Second)
-		clear(n.bytes)
+		clear(n.bytesSent)
 		const measured = 30 * time.Second
 		n.run(measured)
 		total, most := 0, 0
-		for _, sent := range n.bytes {
+		for _, sent := range n.bytesSent {
 			total += sent
 			most = max(most, sent)
 		}
 		perNode := float64(total) / float64(count) / measured.Seconds()
-		t.Logf("%d members: %.0f bytes a second a node, the most %.0f", count, perNode, float64(most)/measured.Seconds())
+		t.Logf("%d members: %.0f bytes/s per node, at most %.0f", count, perNode, float64(most)/measured.Seconds())
 		if perNode > 0.4*7000 {
-			t.Errorf("%d members: %.0f bytes a second a node are over the part of the budget", count, perNode)
+			t.Errorf("%d members: %.0f bytes/s per node are over their share of the budget", count, perNode)
 		}
 	}
 }
 
+// TestMalformedDatagramsAreCounted guards against malformed datagrams that are not counted: empty, cut short,
+// wrongly signed or too long ones.
 func TestMalformedDatagramsAreCounted(t *testing.T) {
 	n := newNetwork(t, 2)
-	g := n.views[name(0)]
-	good, err := n.codec.Encode(&Packet{Kind: KindPing, Sender: name(1)})
+	g := n.gossipers[memberName(0)]
+	valid, err := n.codec.Encode(&Packet{Kind: KindPing, Sender: memberName(1)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	spoiled := append([]byte(nil), good...)
-	spoiled[len(spoiled)-1] ^= 1
-	for _, data := range [][]byte{nil, good[:10], spoiled, make([]byte, 2*MaxPacketBytes)} {
-		g.Receive(address(1), data)
+	corrupted := append([]byte(nil), valid...)
+	corrupted[len(corrupted)-1] ^= 1
+	for _, data := range [][]byte{nil, valid[:10], corrupted, make([]byte, 2*MaxPacketBytes)} {
+		g.Receive(memberAddress(1), data)
 	}
 	if got := g.Counters().Malformed; got != 4 {
 		t.Errorf("counted %d malformed datagrams, want 4", got)
 	}
 }
 
+// FuzzDecode guards against decoded packets that can't be encoded again.
 func FuzzDecode(f *testing.F) {
 	n := newNetwork(f, 2)
-	body, err := n.codec.encoder.Marshal(&Packet{Kind: KindPing, Sender: "a", Members: []Member{n.views[name(1)].Self()}})
+	body, err := n.codec.encoder.Marshal(&Packet{Kind: KindPing, Sender: "a", Members: []Member{n.gossipers[memberName(1)].Self()}})
 	if err != nil {
 		f.Fatal(err)
 	}
--- a/internal/gossiper/member.go
+++ b/internal/gossiper/member.go
@@ -7,14 +7,18 @@
 	"github.com/marigoldrelay/marigoldrelay/pkg/announcer"
 )
 
-// Status is what the members believe about one of them.
+// Status is the state of a member as the failure detector sees it.
 type Status uint8
 
-// The statuses, in the order in which they override each other at the same sequence number.
+// The statuses of a member. For the same incarnation and sequence number a later one overrides an earlier one.
 const (
+	// StatusAlive means that the member is taken to be running.
 	StatusAlive Status = iota
+	// StatusSuspect means that a probe of the member got no ack, and that it has not refuted this yet.
 	StatusSuspect
+	// StatusDead means that the suspicion was not refuted in time.
 	StatusDead
+	// StatusLeft means that the member has announced that it is leaving.
 	StatusLeft
 )
 
@@ -50,33 +54,35 @@
 	return fmt.Errorf("unknown member status %q", text)
 }
 
-// Member is one node as the others know it, with the upstream beside it.
+// Member is the record of a node and its upstream that the nodes exchange.
 type Member struct {
 	Name       string `cbor:"1,keyasint" json:"name"`
 	DataCentre string `cbor:"2,keyasint" json:"data-centre"`
 	Region     string `cbor:"3,keyasint" json:"region"`
-	// Control is where the node takes datagrams and control connections.
+	// Control is the address on which the node receives datagrams and control connections.
 	Control netip.AddrPort `cbor:"4,keyasint" json:"control-address"`
-	// Peer is where the node takes requests from other nodes.
+	// Peer is the address on which the node receives requests from other nodes.
 	Peer netip.AddrPort `cbor:"5,keyasint" json:"peer-address"`
-	// Incarnation is new, and higher, for each start of the node's process.
+	// Incarnation identifies a start of the node's process and increases with each one.
 	Incarnation uint64 `cbor:"6,keyasint" json:"incarnation"`
-	// Sequence rises with each change that the node makes to its own record.
+	// Sequence increases with each change that the node makes to its own record.
 	Sequence uint64          `cbor:"7,keyasint" json:"sequence"`
 	Status   Status          `cbor:"8,keyasint" json:"status"`
 	Service  string          `cbor:"9,keyasint,omitempty" json:"service,omitempty"`
 	Slots    int             `cbor:"10,keyasint,omitempty" json:"slots,omitempty"`
 	Upstream announcer.State `cbor:"11,keyasint,omitempty" json:"upstream,omitempty"`
-	// DiskID identifies the disk of a node that can be a control replica.
+	// DiskID identifies the disk of a node that is able to be a control replica.
 	DiskID string `cbor:"12,keyasint,omitempty" json:"disk-id,omitempty"`
 }
 
-// IsServing reports whether the member can be sent new requests for its service.
+// IsServing reports whether new requests for the member's service can be sent to it: its upstream is
+// ready, and it is alive or suspect.
 func (m *Member) IsServing() bool {
 	return m.Status <= StatusSuspect && m.Upstream == announcer.StateReady
 }
 
-// isNewer reports whether m replaces old.
+// isNewer reports whether m replaces old: the incarnation decides, then the sequence number, then the
+// status.
 func (m *Member) isNewer(old *Member) bool {
 	if m.Incarnation != old.Incarnation {
 		return m.Incarnation > old.Incarnation
--- a/internal/gossiper/network_test.go
+++ b/internal/gossiper/network_test.go
@@ -14,107 +14,114 @@
 )
 
 const (
-	flight   = time.Millisecond
-	headers  = 28
-	testSeed = 3
+	// oneWayDelay is the time that a datagram takes.
+	oneWayDelay = time.Millisecond
+	// headerBytes is the size of a datagram's IPv4 and UDP headers, which count as control bytes too.
+	headerBytes = 28
+	testSeed    = 3
 )
 
-// network carries the datagrams of many gossipers in virtual time.
+// network simulates the network between many gossipers in virtual time. It loses a part of the datagrams and
+// can be partitioned.
 type network struct {
-	codec   *Codec
-	events  deliveries
-	loss    float64
-	now     time.Time
-	order   int
-	random  *rand.Rand
-	sides   map[string]int
-	stopped map[string]bool
-	tb      testing.TB
-	views   map[string]*Gossiper
-	names   map[netip.AddrPort]string
-	bytes   map[string]int
-}
-
-type delivery struct {
-	at    time.Time
-	do    func()
-	order int
-}
-
-type deliveries []delivery
-
-func (d deliveries) Len() int { return len(d) }
-func (d deliveries) Less(i, j int) bool {
-	if !d[i].at.Equal(d[j].at) {
-		return d[i].at.Before(d[j].at)
+	codec          *Codec
+	events         eventQueue
+	lossRate       float64
+	now            time.Time
+	order          int
+	random         *rand.Rand
+	partition      map[string]int
+	stopped        map[string]bool
+	tb             testing.TB
+	gossipers      map[string]*Gossiper
+	namesByAddress map[netip.AddrPort]string
+	bytesSent      map[string]int
+}
+
+// event is an action at a point in virtual time.
+type event struct {
+	at     time.Time
+	action func()
+	order  int
+}
+
+// eventQueue is a heap of events, ordered by time and then by the order of scheduling.
+type eventQueue []event
+
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
+	if !q[i].at.Equal(q[j].at) {
+		return q[i].at.Before(q[j].at)
 	}
-	return d[i].order < d[j].order
+	return q[i].order < q[j].order
 }
-func (d deliveries) Swap(i, j int) { d[i], d[j] = d[j], d[i] }
-func (d *deliveries) Push(x any)   { *d = append(*d, x.(delivery)) }
-func (d *deliveries) Pop() any {
-	old := *d
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(event)) }
+func (q *eventQueue) Pop() any {
+	old := *q
 	last := old[len(old)-1]
-	*d = old[:len(old)-1]
+	*q = old[:len(old)-1]
 	return last
 }
 
-// Now implements timekeeper.Clock.
+// Now implements timekeeper.Clock with the virtual time.
 func (n *network) Now() time.Time { return n.now }
 
-// AfterFunc implements timekeeper.Clock; gossipers do not use it.
+// AfterFunc implements timekeeper.Clock. It does nothing because gossipers do not use it.
 func (n *network) AfterFunc(time.Duration, func()) timekeeper.Timer { return nil }
 
-// port is one member's end of the network.
-type port struct {
+// endpoint is one member's connection to the network. It implements the member's Transport, Observer and Budget.
+type endpoint struct {
 	name string
 	net  *network
 }
 
-// Send implements Transport.
-func (p port) Send(to netip.AddrPort, datagram []byte) {
-	n := p.net
-	n.bytes[p.name] += len(datagram) + headers
-	target, ok := n.names[to]
-	if !ok || n.random.Float64() < n.loss || n.sides[target] != n.sides[p.name] {
+// Send implements Transport: it counts the bytes, and delivers the datagram after oneWayDelay unless it is
+// lost, crosses the partition or finds its target stopped.
+func (e endpoint) Send(to netip.AddrPort, datagram []byte) {
+	n := e.net
+	n.bytesSent[e.name] += len(datagram) + headerBytes
+	target, ok := n.namesByAddress[to]
+	if !ok || n.random.Float64() < n.lossRate || n.partition[target] != n.partition[e.name] {
 		return
 	}
-	from := n.views[p.name].Self().Control
-	n.after(flight, func() {
+	from := n.gossipers[e.name].Self().Control
+	n.schedule(oneWayDelay, func() {
 		if !n.stopped[target] {
-			n.views[target].Receive(from, datagram)
+			n.gossipers[target].Receive(from, datagram)
 		}
 	})
 }
 
 // MemberChanged implements Observer.
-func (port) MemberChanged(Member) {}
+func (endpoint) MemberChanged(Member) {}
 
-// VersionSeen implements Observer.
-func (p port) VersionSeen(_ Member, version uint64) {
-	// Pulling a document takes a round trip.
-	p.net.after(2*flight, func() { p.net.views[p.name].SetVersion(max(version, p.net.views[p.name].version)) })
+// VersionSeen implements Observer: it sets the version after the time that fetching the document takes.
+func (e endpoint) VersionSeen(_ Member, version uint64) {
+	// Fetching a document takes a round trip.
+	e.net.schedule(2*oneWayDelay, func() { e.net.gossipers[e.name].SetVersion(max(version, e.net.gossipers[e.name].version)) })
 }
 
 // LoadSeen implements Observer.
-func (p port) LoadSeen(Member, Load) {}
+func (e endpoint) LoadSeen(Member, Load) {}
 
-// ViewDiffers implements Observer: the views are compared as the owner does over a connection.
-func (p port) ViewDiffers(from Member) {
-	own, other := p.net.views[p.name], p.net.views[from.Name]
-	if other == nil || p.net.sides[p.name] != p.net.sides[from.Name] || p.net.stopped[from.Name] {
+// ViewDiffers implements Observer: it compares the views as the owner of a Gossiper does over a connection.
+func (e endpoint) ViewDiffers(from Member) {
+	own, other := e.net.gossipers[e.name], e.net.gossipers[from.Name]
+	if other == nil || e.net.partition[e.name] != e.net.partition[from.Name] || e.net.stopped[from.Name] {
 		return
 	}
-	p.net.after(2*flight, func() {
-		theirs, mine := other.Differing(own.Digest()), own.Differing(other.Digest())
-		own.Merge(theirs)
-		other.Merge(mine)
+	e.net.schedule(2*oneWayDelay, func() {
+		otherRecords, ownRecords := other.Differing(own.Digest()), own.Differing(other.Digest())
+		own.Merge(otherRecords)
+		other.Merge(ownRecords)
 	})
 }
 
 // Allows implements Budget.
-func (port) Allows(int) bool { return true }
+func (endpoint) Allows(int) bool { return true }
 
+// newNetwork returns a network of count members that all know each other.
 func newNetwork(tb testing.TB, count int) *network {
 	tb.Helper()
 	key, err := signer.New([]byte("a key for the tests only"))
@@ -126,99 +133,103 @@
 		tb.Fatal(err)
 	}
 	n := &network{
-		bytes: make(map[string]int), codec: codec, names: make(map[netip.AddrPort]string), now: time.Unix(1000, 0),
-		random: rand.New(rand.NewPCG(testSeed, testSeed)), sides: make(map[string]int),
-		stopped: make(map[string]bool), tb: tb, views: make(map[string]*Gossiper),
+		bytesSent: make(map[string]int), codec: codec, namesByAddress: make(map[netip.AddrPort]string), now: time.Unix(1000, 0),
+		random: rand.New(rand.NewPCG(testSeed, testSeed)), partition: make(map[string]int),
+		stopped: make(map[string]bool), tb: tb, gossipers: make(map[string]*Gossiper),
 	}
 	for i := range count {
 		n.add(i, 1)
 	}
-	n.meet()
+	n.shareMembers()
 	return n
 }
 
-func address(i int) netip.AddrPort {
+func memberAddress(i int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i / 250), byte(i % 250)}), 7000)
 }
 
-func name(i int) string { return fmt.Sprintf("n%03d", i) }
+func memberName(i int) string { return fmt.Sprintf("n%03d", i) }
 
-// add starts a member; member 0 is the seed of all.
+// add starts a member. Member 0 is the seed of all members.
 func (n *network) add(i int, incarnation uint64) {
-	p := port{name(i), n}
-	n.names[address(i)] = p.name
-	n.views[p.name] = New(Config{
+	p := endpoint{memberName(i), n}
+	n.namesByAddress[memberAddress(i)] = p.name
+	n.gossipers[p.name] = New(Config{
 		Budget: p, Clock: n, Codec: n.codec, Observer: p, Random: rand.New(rand.NewPCG(testSeed, uint64(i)+incarnation<<32)),
-		Seeds: []netip.AddrPort{address(0)}, Transport: p,
+		Seeds: []netip.AddrPort{memberAddress(0)}, Transport: p,
 		Self: Member{
 			Name: p.name, DataCentre: fmt.Sprintf("dc%d", i%7), Region: fmt.Sprintf("r%d", i%7%3),
-			Control: address(i), Peer: address(i), Incarnation: incarnation,
+			Control: memberAddress(i), Peer: memberAddress(i), Incarnation: incarnation,
 			Service: fmt.Sprintf("s%d", i%76), Slots: 12, Upstream: announcer.StateReady,
 		},
 	})
 	offset := time.Duration(n.random.Int64N(int64(TickInterval)))
-	n.tick(p.name, n.views[p.name], offset)
+	n.scheduleTick(p.name, n.gossipers[p.name], offset)
 }
 
-func (n *network) tick(name string, g *Gossiper, in time.Duration) {
-	n.after(in, func() {
-		if n.views[name] != g || n.stopped[name] {
+// scheduleTick calls Tick after the given time and then every TickInterval, until the member is stopped or
+// replaced.
+func (n *network) scheduleTick(name string, g *Gossiper, in time.Duration) {
+	n.schedule(in, func() {
+		if n.gossipers[name] != g || n.stopped[name] {
 			return
 		}
 		g.Tick()
-		n.tick(name, g, TickInterval)
+		n.scheduleTick(name, g, TickInterval)
 	})
 }
 
-// meet makes every member know all, as after the comparison of views at a start.
-func (n *network) meet() {
+// shareMembers gives every member the records of all, as the comparison of views does at a start.
+func (n *network) shareMembers() {
 	var all []Member
-	for i := range len(n.views) {
-		all = append(all, n.views[name(i)].Self())
+	for i := range len(n.gossipers) {
+		all = append(all, n.gossipers[memberName(i)].Self())
 	}
-	for i := range len(n.views) {
-		n.views[name(i)].Merge(all)
+	for i := range len(n.gossipers) {
+		n.gossipers[memberName(i)].Merge(all)
 	}
 }
 
-func (n *network) after(d time.Duration, do func()) {
+func (n *network) schedule(d time.Duration, action func()) {
 	n.order++
-	heap.Push(&n.events, delivery{n.now.Add(d), do, n.order})
+	heap.Push(&n.events, event{n.now.Add(d), action, n.order})
 }
 
+// run processes the events of the next d of virtual time.
 func (n *network) run(d time.Duration) {
 	end := n.now.Add(d)
 	for n.events.Len() > 0 && !n.events[0].at.After(end) {
-		next := heap.Pop(&n.events).(delivery)
+		next := heap.Pop(&n.events).(event)
 		n.now = next.at
-		next.do()
+		next.action()
 	}
 	n.now = end
 }
 
-// until runs until holds is true for every running member, and returns how long that took.
-func (n *network) until(limit time.Duration, holds func(g *Gossiper) bool) (time.Duration, bool) {
+// runUntil runs the network until the condition holds for every running member. It returns the virtual time
+// that this took, or limit and false if it took longer.
+func (n *network) runUntil(limit time.Duration, condition func(g *Gossiper) bool) (time.Duration, bool) {
 	started := n.now
 	for n.now.Sub(started) < limit {
 		n.run(50 * time.Millisecond)
-		if n.all(holds) {
+		if n.allRunning(condition) {
 			return n.now.Sub(started), true
 		}
 	}
 	return limit, false
 }
 
-func (n *network) all(holds func(g *Gossiper) bool) bool {
-	for name, g := range n.views {
-		if !n.stopped[name] && !holds(g) {
+func (n *network) allRunning(condition func(g *Gossiper) bool) bool {
+	for name, g := range n.gossipers {
+		if !n.stopped[name] && !condition(g) {
 			return false
 		}
 	}
 	return true
 }
 
-func (n *network) sum(count func(Counters) uint64) (total uint64) {
-	for _, g := range n.views {
+func (n *network) sumCounters(count func(Counters) uint64) (total uint64) {
+	for _, g := range n.gossipers {
 		total += count(g.Counters())
 	}
 	return total
--- a/internal/gossiper/packet.go
+++ b/internal/gossiper/packet.go
@@ -9,12 +9,13 @@
 	"github.com/marigoldrelay/marigoldrelay/internal/signer"
 )
 
-// MaxPacketBytes bounds a datagram.
+// MaxPacketBytes is the largest size of a datagram, with its signature.
 const MaxPacketBytes = 1200
 
-// ErrMalformed is wrapped by the error of a datagram that can't be used.
+// ErrMalformed is wrapped by the errors for datagrams and digests that can't be decoded.
 var ErrMalformed = merry.Sentinel("malformed datagram")
 
+// purposePacket is the purpose of the packets' signatures.
 const purposePacket = "gossip"
 
 // Kind is the type of a packet.
@@ -22,50 +23,55 @@
 
 // The kinds of packet.
 const (
+	// KindPing asks the receiver for a KindAck with the same sequence number.
 	KindPing Kind = iota + 1
+	// KindAck answers a KindPing.
 	KindAck
+	// KindIndirectPing asks the receiver to ping the target and to pass its ack on.
 	KindIndirectPing
+	// KindUpdate only carries member records and the document version.
 	KindUpdate
-	// KindLoad tells what the sender's upstream can take at the moment.
+	// KindLoad carries the current load of the sender's upstream.
 	KindLoad
 )
 
-// Load is what the upstream beside a member can take at the moment.
+// Load is the current load of a member's upstream: its queued and running requests and its slots.
 type Load struct {
 	Queued  int `cbor:"1,keyasint,omitempty"`
 	Running int `cbor:"2,keyasint,omitempty"`
 	Slots   int `cbor:"3,keyasint,omitempty"`
-	// Slowdown is how much longer than usual work takes, in percent; zero where it is not known.
+	// Slowdown is how much longer than usual requests take, in percent; zero if unknown.
 	Slowdown int `cbor:"4,keyasint,omitempty"`
-	// Best is the part of its slots with which the upstream gets most done, in percent; zero where its node
-	// has not learned that.
+	// Best is the share of its slots, in percent, at which the upstream has its highest throughput; zero if
+	// its node has not learned it.
 	Best int `cbor:"5,keyasint,omitempty"`
 }
 
-// Packet is one datagram between members.
+// Packet is the decoded content of one datagram between members.
 type Packet struct {
 	Kind     Kind   `cbor:"1,keyasint"`
 	Sender   string `cbor:"2,keyasint"`
 	Sequence uint64 `cbor:"3,keyasint,omitempty"`
-	// Target is the member that an indirect ping asks about.
+	// Target is the name of the member to ping, in packets of KindIndirectPing.
 	Target string `cbor:"4,keyasint,omitempty"`
-	// Version is the version of the document that the sender has in force.
+	// Version is the document version that the sender has in force; zero if it has none.
 	Version uint64   `cbor:"5,keyasint,omitempty"`
 	Members []Member `cbor:"6,keyasint,omitempty"`
-	// View is the hash of the sender's view, in pings and acks.
-	View uint64 `cbor:"7,keyasint,omitempty"`
+	// ViewHash is the hash of the sender's view, in packets of KindPing and KindAck.
+	ViewHash uint64 `cbor:"7,keyasint,omitempty"`
 	// Load is set in packets of KindLoad.
 	Load *Load `cbor:"8,keyasint,omitempty"`
 }
 
-// Codec encodes packets and signs them.
+// Codec encodes and signs packets, and verifies and decodes them. A datagram is a signature followed by
+// CBOR (RFC 8949).
 type Codec struct {
 	decoder cbor.DecMode
 	encoder cbor.EncMode
 	key     *signer.Signer
 }
 
-// NewCodec returns a codec that signs with key.
+// NewCodec returns a codec that signs and verifies with key.
 func NewCodec(key *signer.Signer) (*Codec, error) {
 	encoder, err := cbor.EncOptions{BinaryMarshaler: cbor.BinaryMarshalerByteString}.EncMode()
 	if err != nil {
@@ -83,7 +89,8 @@
 	return &Codec{decoder: decoder, encoder: encoder, key: key}, nil
 }
 
-// Encode returns the signed datagram of p: the signature, then CBOR (RFC 8949).
+// Encode returns the signed datagram of p: the signature, then CBOR (RFC 8949). It does not check the
+// size against MaxPacketBytes.
 func (c *Codec) Encode(p *Packet) ([]byte, error) {
 	body, err := c.encoder.Marshal(p)
 	if err != nil {
@@ -92,7 +99,7 @@
 	return append(c.key.Sum(purposePacket, body), body...), nil
 }
 
-// Decode verifies and parses a datagram. The error wraps ErrMalformed.
+// Decode verifies and decodes a datagram. The error wraps ErrMalformed.
 func (c *Codec) Decode(data []byte) (*Packet, error) {
 	if len(data) <= signer.SumBytes || len(data) > MaxPacketBytes {
 		return nil, fmt.Errorf("%w: %d bytes", ErrMalformed, len(data))
@@ -104,23 +111,26 @@
 	return c.decodeBody(body)
 }
 
+// decodeBody decodes a datagram's CBOR part and validates the packet.
 func (c *Codec) decodeBody(body []byte) (*Packet, error) {
 	var p Packet
 	if err := c.decoder.Unmarshal(body, &p); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
 	if p.Kind < KindPing || p.Kind > KindLoad || (p.Kind == KindLoad) != (p.Load != nil) || p.Sender == "" {
-		return nil, fmt.Errorf("%w: kind %d from %q", ErrMalformed, p.Kind, p.Sender)
+		return nil, fmt.Errorf("%w: invalid packet of kind %d from %q", ErrMalformed, p.Kind, p.Sender)
 	}
 	for i := range p.Members {
-		if !isPlausible(&p.Members[i]) {
-			return nil, fmt.Errorf("%w: member %q", ErrMalformed, p.Members[i].Name)
+		if !isValidRecord(&p.Members[i]) {
+			return nil, fmt.Errorf("%w: invalid record of member %q", ErrMalformed, p.Members[i].Name)
 		}
 	}
 	return &p, nil
 }
 
-func isPlausible(m *Member) bool {
+// isValidRecord reports whether a record from another node has a name, a known status, no negative number
+// of slots and valid addresses.
+func isValidRecord(m *Member) bool {
 	if m.Name == "" || m.Status > StatusLeft || m.Slots < 0 {
 		return false
 	}
--- a/internal/gossiper/probe.go
+++ b/internal/gossiper/probe.go
@@ -7,30 +7,35 @@
 	"time"
 )
 
+// probe is a ping that waits for its ack.
 type probe struct {
+	// indirect is true once other members were asked to ping the target.
 	indirect bool
-	sent     time.Time
+	sentAt   time.Time
 	target   string
 }
 
-// relay remembers for whom an indirect ping was sent.
+// relay is a ping sent on behalf of another member. The ack is passed on to origin with the origin's
+// sequence number.
 type relay struct {
 	expires  time.Time
 	origin   netip.AddrPort
 	sequence uint64
 }
 
-func (g *Gossiper) acked(now time.Time, sequence uint64) {
+// handleAck ends the probe of the sequence number, or passes the ack of a relayed ping on.
+func (g *Gossiper) handleAck(now time.Time, sequence uint64) {
 	if r, ok := g.relays[sequence]; ok {
 		delete(g.relays, sequence)
 		if now.Before(r.expires) {
-			g.send(r.origin, &Packet{Kind: KindAck, Sequence: r.sequence})
+			g.enqueue(r.origin, &Packet{Kind: KindAck, Sequence: r.sequence})
 		}
 		return
 	}
 	delete(g.probes, sequence)
 }
 
+// relayPing pings the target of an indirect ping and removes expired relays.
 func (g *Gossiper) relayPing(now time.Time, from netip.AddrPort, p *Packet) {
 	target, ok := g.members[p.Target]
 	if !ok {
@@ -38,7 +43,7 @@
 	}
 	g.sequence++
 	g.relays[g.sequence] = relay{expires: now.Add(probeInterval), origin: from, sequence: p.Sequence}
-	g.send(target.Control, &Packet{Kind: KindPing, Sequence: g.sequence})
+	g.enqueue(target.Control, &Packet{Kind: KindPing, Sequence: g.sequence})
 	for sequence, r := range g.relays {
 		if now.After(r.expires) {
 			delete(g.relays, sequence)
@@ -46,67 +51,71 @@
 	}
 }
 
-// probeNext pings the next member. Members of the own data centre come up more often.
+// probeNext probes the next member. Members of the same data centre are probed more often.
 func (g *Gossiper) probeNext(now time.Time) {
-	target := g.nextDue()
+	target := g.nextProbeTarget()
 	if target == nil {
 		return
 	}
 	g.sequence++
-	g.probes[g.sequence] = &probe{sent: now, target: target.Name}
+	g.probes[g.sequence] = &probe{sentAt: now, target: target.Name}
 	g.ping(target, g.sequence)
 }
 
+// ping sends a ping. The sequence number zero belongs to no probe, so that the ack of such a ping ends
+// none.
 func (g *Gossiper) ping(target *entry, sequence uint64) {
 	p := &Packet{Kind: KindPing, Sequence: sequence}
 	if target.Status != StatusAlive {
-		// The member must hear what is said of it, to refute it.
+		// The member has to receive its own record to refute the suspicion or death.
 		p.Members = append(p.Members, target.Member)
 	}
-	g.send(target.Control, p)
+	g.enqueue(target.Control, p)
 }
 
-func (g *Gossiper) nextDue() *entry {
+// nextProbeTarget returns the next member of the round, or nil if there is none to probe.
+func (g *Gossiper) nextProbeTarget() *entry {
 	for range 2 {
-		for len(g.due) > 0 {
-			name := g.due[0]
-			g.due = g.due[1:]
-			if m, ok := g.members[name]; ok && g.isProbed(m) {
+		for len(g.probeQueue) > 0 {
+			name := g.probeQueue[0]
+			g.probeQueue = g.probeQueue[1:]
+			if m, ok := g.members[name]; ok && g.isActivePeer(m) {
 				return m
 			}
 		}
-		g.refillDue()
+		g.refillProbeQueue()
 	}
 	return nil
 }
 
-func (g *Gossiper) isProbed(m *entry) bool {
+// isActivePeer reports whether m is another member that is alive or suspect.
+func (g *Gossiper) isActivePeer(m *entry) bool {
 	return m.Name != g.self && m.Status <= StatusSuspect
 }
 
-// refillDue shuffles a round: every member once, and the near ones again for each far one so that
-// they make up nearPart of the probes.
-func (g *Gossiper) refillDue() {
-	own := g.members[g.self].DataCentre
-	var near, far []string
+// refillProbeQueue starts a new round in random order: every member once, and random members of the local
+// data centre again, if there are any, so that they make up at least localProbeShare of the probes.
+func (g *Gossiper) refillProbeQueue() {
+	ownDataCentre := g.members[g.self].DataCentre
+	var localNames, remoteNames []string
 	for _, name := range g.sortedNames() {
 		m := g.members[name]
 		switch {
-		case !g.isProbed(m):
-		case m.DataCentre == own:
-			near = append(near, name)
+		case !g.isActivePeer(m):
+		case m.DataCentre == ownDataCentre:
+			localNames = append(localNames, name)
 		default:
-			far = append(far, name)
+			remoteNames = append(remoteNames, name)
 		}
 	}
-	round := append(slices.Clone(near), far...)
-	extra := int(float64(len(far))*nearPart/(1-nearPart)) - len(near)
-	for len(near) > 0 && extra > 0 && len(far) > 0 {
-		round = append(round, near[g.random.IntN(len(near))])
-		extra--
+	round := append(slices.Clone(localNames), remoteNames...)
+	extraLocal := int(float64(len(remoteNames))*localProbeShare/(1-localProbeShare)) - len(localNames)
+	for len(localNames) > 0 && extraLocal > 0 && len(remoteNames) > 0 {
+		round = append(round, localNames[g.random.IntN(len(localNames))])
+		extraLocal--
 	}
 	g.random.Shuffle(len(round), func(i, j int) { round[i], round[j] = round[j], round[i] })
-	g.due = round
+	g.probeQueue = round
 }
 
 func (g *Gossiper) sortedNames() []string {
@@ -118,16 +127,18 @@
 	return names
 }
 
+// checkProbes sends indirect pings for probes without an ack after ackTimeout, and suspects the targets of
+// probes without one after probeInterval.
 func (g *Gossiper) checkProbes(now time.Time) {
 	for _, sequence := range sortedKeys(g.probes) {
 		p := g.probes[sequence]
-		switch waited := now.Sub(p.sent); {
+		switch waited := now.Sub(p.sentAt); {
 		case waited >= probeInterval:
 			delete(g.probes, sequence)
-			g.suspect(p.target)
+			g.markSuspect(p.target)
 		case waited >= ackTimeout && !p.indirect:
 			p.indirect = true
-			g.askHelpers(p.target, sequence)
+			g.sendIndirectPings(p.target, sequence)
 		}
 	}
 }
@@ -141,19 +152,21 @@
 	return keys
 }
 
-func (g *Gossiper) askHelpers(target string, sequence uint64) {
-	for _, helper := range g.pick(indirectHelpers, target) {
-		g.send(helper.Control, &Packet{Kind: KindIndirectPing, Sequence: sequence, Target: target})
+// sendIndirectPings asks random members to ping the target.
+func (g *Gossiper) sendIndirectPings(target string, sequence uint64) {
+	for _, helper := range g.pickPeers(indirectProbers, target) {
+		g.enqueue(helper.Control, &Packet{Kind: KindIndirectPing, Sequence: sequence, Target: target})
 	}
 }
 
-// pick returns up to n random live members other than the own and the excluded one.
-func (g *Gossiper) pick(n int, exclude string) []*entry {
+// pickPeers returns up to n random other members that are alive or suspect, without the excluded one. It
+// makes at most 10 draws per wanted member.
+func (g *Gossiper) pickPeers(n int, exclude string) []*entry {
 	names := g.sortedNames()
 	var picked []*entry
 	for tries := 0; len(picked) < n && tries < 10*n; tries++ {
 		m := g.members[names[g.random.IntN(len(names))]]
-		if m.Name == exclude || !g.isProbed(m) || slices.Contains(picked, m) {
+		if m.Name == exclude || !g.isActivePeer(m) || slices.Contains(picked, m) {
 			continue
 		}
 		picked = append(picked, m)
@@ -161,7 +174,8 @@
 	return picked
 }
 
-func (g *Gossiper) suspect(name string) {
+// markSuspect changes an alive member to suspect and pings it with its changed record.
+func (g *Gossiper) markSuspect(name string) {
 	m, ok := g.members[name]
 	if !ok || m.Status != StatusAlive {
 		return
@@ -173,13 +187,17 @@
 	g.ping(g.members[name], 0)
 }
 
-func (g *Gossiper) suspicionTime() time.Duration {
+// suspicionTimeout returns how long a member can stay suspect before it is declared dead. It grows with the
+// logarithm of the number of members.
+func (g *Gossiper) suspicionTimeout() time.Duration {
 	scale := math.Log10(float64(max(10, len(g.members))))
 	return time.Duration(float64(suspicionBase) * scale)
 }
 
+// checkSuspects pings suspect members, declares those dead whose suspicion timed out, and removes the
+// records of members that have long been dead or left.
 func (g *Gossiper) checkSuspects(now time.Time) {
-	limit := g.suspicionTime()
+	limit := g.suspicionTimeout()
 	for _, name := range g.sortedNames() {
 		m := g.members[name]
 		age := now.Sub(m.since)
@@ -191,16 +209,16 @@
 			dead := m.Member
 			dead.Status = StatusDead
 			g.merge(dead)
-		case m.Status >= StatusDead && age >= deadKeepTime:
-			g.view ^= m.hash()
+		case m.Status >= StatusDead && age >= deadRetention:
+			g.viewHash ^= m.hash()
 			delete(g.members, name)
 			delete(g.updates, name)
 		}
 	}
 }
 
-// reconnect pings a seed that is not known alive and a dead member, so that sides that were cut off
-// find each other again.
+// reconnect pings a random seed unless it is known as alive, and a random dead member, so that the sides of
+// a healed network partition find each other again.
 func (g *Gossiper) reconnect() {
 	alive := make(map[netip.AddrPort]bool)
 	var dead []*entry
@@ -213,7 +231,7 @@
 	}
 	if len(g.seeds) > 0 {
 		if seed := g.seeds[g.random.IntN(len(g.seeds))]; !alive[seed] {
-			g.send(seed, &Packet{Kind: KindPing, Members: []Member{g.members[g.self].Member}})
+			g.enqueue(seed, &Packet{Kind: KindPing, Members: []Member{g.members[g.self].Member}})
 		}
 	}
 	if len(dead) > 0 {
--- a/internal/gossiper/spread.go
+++ b/internal/gossiper/spread.go
@@ -8,13 +8,16 @@
 	"github.com/marigoldrelay/marigoldrelay/internal/asserter"
 )
 
+// update is a record that is still being spread.
 type update struct {
 	member Member
-	order  int
-	sent   int
+	// order is higher for newer updates.
+	order int
+	// sendCount is the number of packets that the record was selected for.
+	sendCount int
 }
 
-// merge takes a record into the view if it is newer.
+// merge stores a record in the view if it is newer than the one there.
 func (g *Gossiper) merge(m Member) {
 	if m.Name == g.self {
 		g.mergeSelf(m)
@@ -25,27 +28,29 @@
 		return
 	}
 	if ok {
-		asserter.That(!old.isNewer(&m), "gossip-monotonic", "%s went back", m.Name)
+		asserter.That(!old.isNewer(&m), "gossip-monotonic", "the record of %s went back to an older one", m.Name)
 	}
 	g.put(m)
 	g.changed = append(g.changed, m)
 }
 
-// put stores a record and begins to spread it.
+// put stores a record, updates the view's hash and begins to spread the record.
 func (g *Gossiper) put(m Member) {
 	if old, ok := g.members[m.Name]; ok {
-		g.view ^= old.hash()
+		g.viewHash ^= old.hash()
 	}
-	g.view ^= m.hash()
+	g.viewHash ^= m.hash()
 	g.members[m.Name] = &entry{Member: m, since: g.clock.Now()}
-	g.order++
-	g.updates[m.Name] = &update{member: m, order: g.order}
+	g.lastOrder++
+	g.updates[m.Name] = &update{member: m, order: g.lastOrder}
 }
 
-// mergeSelf refutes what others believe of this member where it is not so.
+// mergeSelf handles a record of this member from another one. If it is newer than the member's own record,
+// it is refuted: the own record is spread with a higher sequence number and, where the other incarnation is
+// higher, an incarnation above that. A member that has left refutes nothing.
 func (g *Gossiper) mergeSelf(m Member) {
 	self := g.members[g.self].Member
-	if g.left || !m.isNewer(&self) {
+	if g.hasLeft || !m.isNewer(&self) {
 		return
 	}
 	g.counters.Refutations++
@@ -57,58 +62,63 @@
 	g.changed = append(g.changed, self)
 }
 
-// spread sends pending updates and the document's version to a few random members.
+// spread sends pending updates and the document version to fanout random members. It stops when the budget
+// is used up.
 func (g *Gossiper) spread() {
-	if len(g.updates) == 0 && g.versionSends == 0 {
+	if len(g.updates) == 0 && g.versionSendsLeft == 0 {
 		return
 	}
-	g.versionSends = max(0, g.versionSends-1)
-	for _, m := range g.pick(fanout, "") {
+	g.versionSendsLeft = max(0, g.versionSendsLeft-1)
+	for _, m := range g.pickPeers(fanout, "") {
 		if !g.budget.Allows(bytesPerRecord * min(maxPiggyback, len(g.updates))) {
 			g.counters.OverBudget++
 			return
 		}
-		g.send(m.Control, &Packet{Kind: KindUpdate})
+		g.enqueue(m.Control, &Packet{Kind: KindUpdate})
 	}
 }
 
-// retransmits returns how often an update is sent until all members have it very likely.
-func (g *Gossiper) retransmits() int {
+// maxRetransmits returns the number of times an update is sent, so that all members very likely receive it.
+// It grows with the logarithm of the number of members.
+func (g *Gossiper) maxRetransmits() int {
 	return int(math.Ceil(retransmitFactor * math.Log10(float64(len(g.members)+10))))
 }
 
-// piggyback returns the least spread updates and retires those that were sent often enough.
-func (g *Gossiper) piggyback(room int) []Member {
+// piggyback returns up to maxRecords of the updates that were sent least often, and removes those from the
+// pending ones that have now been sent maxRetransmits times.
+func (g *Gossiper) piggyback(maxRecords int) []Member {
 	names := make([]string, 0, len(g.updates))
 	for name := range g.updates {
 		names = append(names, name)
 	}
 	slices.SortFunc(names, func(a, b string) int {
 		x, y := g.updates[a], g.updates[b]
-		if x.sent != y.sent {
-			return x.sent - y.sent
+		if x.sendCount != y.sendCount {
+			return x.sendCount - y.sendCount
 		}
-		// Of equally spread updates the newest goes first: a drain must not wait behind a mass start.
+		// Among updates sent equally often the newest goes first: a drain must not be delayed by a mass start.
 		return y.order - x.order
 	})
-	limit := g.retransmits()
+	limit := g.maxRetransmits()
 	var members []Member
-	for _, name := range names[:min(room, len(names))] {
+	for _, name := range names[:min(maxRecords, len(names))] {
 		u := g.updates[name]
 		members = append(members, u.member)
-		u.sent++
-		if u.sent >= limit {
+		u.sendCount++
+		if u.sendCount >= limit {
 			delete(g.updates, name)
 		}
 	}
 	return members
 }
 
-func (g *Gossiper) send(to netip.AddrPort, p *Packet) {
+// enqueue fills in the sender's fields of a packet, adds pending updates up to maxPiggyback records, and
+// queues it in the outbox. Records that don't fit into MaxPacketBytes are cut off the end.
+func (g *Gossiper) enqueue(to netip.AddrPort, p *Packet) {
 	p.Sender = g.self
 	p.Version = g.version
 	if p.Kind == KindPing || p.Kind == KindAck {
-		p.View = g.view
+		p.ViewHash = g.viewHash
 	}
 	p.Members = append(p.Members, g.piggyback(maxPiggyback-len(p.Members))...)
 	data, err := g.codec.Encode(p)
