--- a/internal/registrar/registrar.go
+++ b/internal/registrar/registrar.go
@@ -1,4 +1,4 @@
-// Package registrar keeps the lease of the upstream that runs beside the node.
+// Package registrar holds the newest announcement of the node's local upstream and its lease.
 package registrar
 
 import (
@@ -13,17 +13,18 @@
 	"github.com/marigoldrelay/marigoldrelay/pkg/announcer"
 )
 
-// LeaseTime is how long an announcement holds without a renewal, unless New is told otherwise.
+// LeaseTime is how long an announcement is valid without a renewal. NewWithLease sets another time.
 const LeaseTime = 3 * time.Second
 
-// MaxSlots bounds what an upstream can announce.
+// MaxSlots is the largest number of slots that an upstream can announce.
 const MaxSlots = 10000
 
-// Errors of Announce.
+// The errors of Announce.
 var (
-	// ErrInvalid is wrapped by the error of an announcement that breaks a rule.
+	// ErrInvalid is wrapped by the error for an announcement with an invalid field.
 	ErrInvalid = merry.Sentinel("invalid announcement")
-	// ErrOutdated is wrapped by the error of an announcement that a newer one came before.
+	// ErrOutdated is wrapped by the error for an announcement that is older than the current state of the
+	// upstream.
 	ErrOutdated = merry.Sentinel("outdated announcement")
 )
 
@@ -32,49 +33,50 @@
 	clock    timekeeper.Clock
 	onChange func(announcer.Announcement)
 
-	// order keeps the calls of onChange in the order of the changes.
-	order sync.Mutex
-
-	mu      sync.Mutex
-	current announcer.Announcement
-	expires time.Time
-	lease   time.Duration
-	// left is true when the current process has said that it goes.
-	left  bool
-	timer timekeeper.Timer
+	// notifyMu serializes the changes and their calls of onChange, so that the calls come in the order of the
+	// changes. It is locked before mu.
+	notifyMu sync.Mutex
+
+	mu        sync.Mutex
+	current   announcer.Announcement
+	expiresAt time.Time
+	lease     time.Duration
+	// isLeaving is true when the current process has announced that it is shutting down.
+	isLeaving bool
+	timer     timekeeper.Timer
 }
 
-// New returns a registrar without an upstream. It calls onChange after each change
-// of the announcement, in order; a lapsed lease counts as a change to the state gone.
+// New returns a registrar without an upstream, whose leases last LeaseTime. It calls onChange after each
+// change of the announcement, in order. An expired lease counts as a change to the state gone.
 func New(clock timekeeper.Clock, onChange func(announcer.Announcement)) *Registrar {
 	return NewWithLease(clock, LeaseTime, onChange)
 }
 
-// NewWithLease returns a registrar whose announcements hold for the given time.
+// NewWithLease is like New with another lease time.
 func NewWithLease(clock timekeeper.Clock, lease time.Duration, onChange func(announcer.Announcement)) *Registrar {
 	gone := announcer.Announcement{State: announcer.StateGone}
 	return &Registrar{clock: clock, lease: lease, onChange: onChange, current: gone}
 }
 
-// Announce takes an announcement or its renewal and returns the lease. The error wraps ErrInvalid or
+// Announce stores an announcement, or renews its lease, and returns the lease. The error wraps ErrInvalid or
 // ErrOutdated.
 func (r *Registrar) Announce(a announcer.Announcement) (announcer.Lease, error) {
-	if err := check(a); err != nil {
+	if err := validate(a); err != nil {
 		return announcer.Lease{}, err
 	}
-	r.order.Lock()
-	defer r.order.Unlock()
+	r.notifyMu.Lock()
+	defer r.notifyMu.Unlock()
 	r.mu.Lock()
-	if err := r.inOrder(a); err != nil {
+	if err := r.checkOrder(a); err != nil {
 		r.mu.Unlock()
 		return announcer.Lease{}, err
 	}
 	changed := isChange(r.current, a)
-	r.left = a.State == announcer.StateDraining || (a.State == announcer.StateGone && isCounted(a))
+	r.isLeaving = a.State == announcer.StateDraining || (a.State == announcer.StateGone && isNumbered(a))
 	r.current = a
-	r.expires = r.clock.Now().Add(r.lease)
+	r.expiresAt = r.clock.Now().Add(r.lease)
 	if r.timer == nil {
-		r.timer = r.clock.AfterFunc(r.lease, r.lapse)
+		r.timer = r.clock.AfterFunc(r.lease, r.expireLease)
 	} else {
 		r.timer.Reset(r.lease)
 	}
@@ -85,121 +87,126 @@
 	return announcer.Lease{Time: r.lease.String()}, nil
 }
 
-// inOrder returns an error for an announcement that is older than what is known: of a process that was
-// born before the current one, of one that has said that it goes, or one that came late. It is called
-// with mu held.
-func (r *Registrar) inOrder(a announcer.Announcement) error {
-	if !isCounted(a) || !isCounted(r.current) {
+// checkOrder returns an error for an outdated announcement: one of a process that started before the current
+// one, one that arrives after a later announcement of the same process, or one that declares a process ready
+// that is already shutting down. It is called with mu held.
+func (r *Registrar) checkOrder(a announcer.Announcement) error {
+	if !isNumbered(a) || !isNumbered(r.current) {
 		return nil
 	}
 	switch {
 	case a.Born < r.current.Born:
-		return fmt.Errorf("%w: instance %s was born before %s", ErrOutdated, a.Instance, r.current.Instance)
+		return fmt.Errorf("%w: process of instance %s started before that of %s", ErrOutdated, a.Instance, r.current.Instance)
 	case a.Born > r.current.Born || a.Instance != r.current.Instance:
 		return nil
 	case a.Sequence < r.current.Sequence:
-		return fmt.Errorf("%w: announcement %d after %d", ErrOutdated, a.Sequence, r.current.Sequence)
-	case r.left && a.State == announcer.StateReady:
-		return fmt.Errorf("%w: instance %s has said that it goes", ErrOutdated, a.Instance)
+		return fmt.Errorf("%w: announcement number %d arrived after number %d", ErrOutdated, a.Sequence, r.current.Sequence)
+	case r.isLeaving && a.State == announcer.StateReady:
+		return fmt.Errorf("%w: instance %s is already shutting down", ErrOutdated, a.Instance)
 	default:
 		return nil
 	}
 }
 
-// isCounted reports whether the announcement tells its place among others.
-func isCounted(a announcer.Announcement) bool {
+// isNumbered reports whether the announcement has the start time of its process, by which it can be ordered.
+func isNumbered(a announcer.Announcement) bool {
 	return a.Born != 0
 }
 
-// isChange reports whether the announcements differ in more than their count.
+// isChange reports whether the announcements differ in a field other than Sequence and Cold.
 func isChange(old, a announcer.Announcement) bool {
 	old.Sequence, a.Sequence = 0, 0
 	old.Cold, a.Cold = 0, 0
 	return old != a
 }
 
-func (r *Registrar) lapse() {
-	r.order.Lock()
-	defer r.order.Unlock()
+// expireLease marks the upstream as gone if its lease was not renewed in the meantime.
+func (r *Registrar) expireLease() {
+	r.notifyMu.Lock()
+	defer r.notifyMu.Unlock()
 	r.mu.Lock()
 	now := r.clock.Now()
-	if now.Before(r.expires) || r.current.State == announcer.StateGone {
+	if now.Before(r.expiresAt) || r.current.State == announcer.StateGone {
 		r.mu.Unlock()
 		return
 	}
-	r.end()
+	r.markGoneAndUnlock()
 }
 
-// end tells the observer that the upstream is gone. It is called with both locks held and lets go of
-// mu.
-func (r *Registrar) end() {
+// markGoneAndUnlock changes the upstream's state to gone and calls onChange. It is called with both locks held
+// and releases mu.
+func (r *Registrar) markGoneAndUnlock() {
 	r.current.State = announcer.StateGone
 	gone := r.current
 	r.mu.Unlock()
 	r.onChange(gone)
 }
 
-// Withdraw notes that the process goes, as it says itself. A zero born stands for any start of it.
+// Withdraw records that the upstream's process is shutting down, as reported by the process itself. Its state
+// becomes draining, and its announcements as ready are refused from then on. A zero born matches every start of
+// the instance. The withdrawal of an instance other than the current one is ignored unless the current one is
+// gone.
 func (r *Registrar) Withdraw(instance string, born int64) {
-	r.order.Lock()
-	defer r.order.Unlock()
+	r.notifyMu.Lock()
+	defer r.notifyMu.Unlock()
 	r.mu.Lock()
-	known := r.current.Instance == instance && (born == 0 || born == r.current.Born)
-	if !known && r.current.State != announcer.StateGone {
+	isCurrent := r.current.Instance == instance && (born == 0 || born == r.current.Born)
+	if !isCurrent && r.current.State != announcer.StateGone {
 		r.mu.Unlock()
 		return
 	}
-	if !known {
+	if !isCurrent {
 		r.current.Instance = instance
 		r.current.Born = born
 	}
-	r.left = true
+	r.isLeaving = true
 	r.current.State = announcer.StateDraining
-	leaving := r.current
+	draining := r.current
 	r.mu.Unlock()
-	r.onChange(leaving)
+	r.onChange(draining)
 }
 
-// Found takes an upstream that was met without an announcement, unless one is known to be ready or has
-// said that it goes.
+// Found stores an upstream that was discovered without an announcement, unless the current upstream is ready
+// or the discovered one is shutting down.
 func (r *Registrar) Found(a announcer.Announcement) {
 	r.mu.Lock()
-	current, left := r.current, r.left
+	current, isLeaving := r.current, r.isLeaving
 	r.mu.Unlock()
-	if current.State == announcer.StateReady || (left && current.Instance == a.Instance) {
+	if current.State == announcer.StateReady || (isLeaving && current.Instance == a.Instance) {
 		return
 	}
 	if current.Instance == a.Instance {
 		a.Born, a.Sequence, a.Service, a.Slots = current.Born, current.Sequence, current.Service, max(a.Slots, current.Slots)
 	}
-	// What the upstream lacks to be of use is told by its own announcements.
+	// The error can be ignored: the upstream's own announcements provide what is missing here.
 	_, _ = r.Announce(a)
 }
 
-// Down ends the lease of an upstream whose process is gone. Its next announcement begins another.
+// Down ends the lease of an instance whose process is gone. Its next announcement begins a new lease.
 func (r *Registrar) Down(instance string) {
-	r.order.Lock()
-	defer r.order.Unlock()
+	r.notifyMu.Lock()
+	defer r.notifyMu.Unlock()
 	r.mu.Lock()
 	if r.current.Instance != instance || r.current.State == announcer.StateGone {
 		r.mu.Unlock()
 		return
 	}
-	r.end()
+	r.markGoneAndUnlock()
 }
 
-// Current returns the newest announcement. Its state is gone when the lease has lapsed.
+// Current returns the newest announcement. Its state is gone if the lease has expired.
 func (r *Registrar) Current() announcer.Announcement {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	current := r.current
-	if !r.clock.Now().Before(r.expires) {
+	if !r.clock.Now().Before(r.expiresAt) {
 		current.State = announcer.StateGone
 	}
 	return current
 }
 
-func check(a announcer.Announcement) error {
+// validate checks the address, the service, the slots and the state. The error wraps ErrInvalid.
+func validate(a announcer.Announcement) error {
 	if _, err := netip.ParseAddrPort(a.Address); err != nil {
 		return fmt.Errorf("%w: address: %q: want an IP and port", ErrInvalid, a.Address)
 	}
