--- a/internal/prober/prober.go
+++ b/internal/prober/prober.go
@@ -1,6 +1,6 @@
-// Package prober asks the upstream beside the node for its health and load while that is of use: when
-// requests run there and no answer has told the load of late, and when the upstream is not known or
-// counts as down.
+// Package prober sends health requests to the node's local upstream, whose answers can also carry its load. It
+// probes when requests run at the upstream and no answer has reported the load recently, when the upstream has
+// never reported its load, and when the upstream is unknown or counts as down.
 package prober
 
 import (
@@ -17,52 +17,59 @@
 )
 
 const (
-	// busyInterval is the greatest age of the known load while requests run.
+	// busyInterval is the largest age of the known load while requests run.
 	busyInterval = 25 * time.Millisecond
-	// findInterval is the time between two questions to an upstream that is not known to be ready.
-	findInterval = 250 * time.Millisecond
-	// startInterval is how often a node looks whether it knows enough to ask.
-	startInterval = 50 * time.Millisecond
-	// idleInterval is how often a ready upstream without requests is looked at.
+	// discoveryInterval is the time between two probes of an upstream that is not known to be ready, and the
+	// pause after a probe that returned no load.
+	discoveryInterval = 250 * time.Millisecond
+	// unconfiguredInterval is the time between two checks whether the upstream's address and health path are
+	// known.
+	unconfiguredInterval = 50 * time.Millisecond
+	// idleInterval is the time between two checks of whether a ready upstream without requests has to be probed.
 	idleInterval = 100 * time.Millisecond
+	// probeTimeout is the deadline of one probe.
 	probeTimeout = 300 * time.Millisecond
 )
 
-// Subject is what the node knows of the upstream beside it.
+// Subject is what the node knows of its local upstream.
 type Subject struct {
+	// Address is not valid if the upstream's address is unknown.
 	Address netip.AddrPort
-	// HealthPath is empty where the upstream can't be asked.
+	// HealthPath is empty if the upstream can't be probed.
 	HealthPath string
-	// Instance is empty where no process of the upstream is known.
+	// Instance is empty if no process of the upstream is known.
 	Instance string
 	IsReady  bool
-	LoadAge  time.Duration
-	// Running is true while requests run.
+	// LoadAge is the time since the upstream last reported its load.
+	LoadAge time.Duration
+	// Running is true while requests run at the upstream.
 	Running bool
 	Service string
-	// TellsLoad is true where the upstream has told its load before.
+	// TellsLoad is true if the upstream has reported its load before.
 	TellsLoad bool
 }
 
-// Counter counts named events.
+// Counter counts events by name.
 type Counter interface {
 	Event(name string)
 }
 
-// Interpreter reads what the upstream says in headers.
+// Interpreter reads the instance and the load from the headers of an upstream's answer.
 type Interpreter interface {
 	ReadAnswer(header *fasthttp.ResponseHeader) interpreter.Answer
 }
 
-// Node is what the prober looks at and tells.
+// Node provides the upstream to probe and receives the results.
 type Node interface {
-	// Found is told of an upstream that says it is well.
+	// Found is called with an upstream that was not known to be ready and has answered that it is healthy.
 	Found(a announcer.Announcement)
+	// Report is called with the load from an answer of a ready upstream.
 	Report(load interpreter.Load)
+	// Subject returns what is currently known of the upstream.
 	Subject() Subject
 }
 
-// Prober asks one upstream. Its methods are called from one goroutine.
+// Prober probes one upstream. It is not safe for concurrent use.
 type Prober struct {
 	clock       timekeeper.Clock
 	counter     Counter
@@ -73,27 +80,27 @@
 	pool    *forwarder.Pool
 }
 
-// New returns a prober.
+// New returns a prober of the node's upstream. Run starts it.
 func New(clock timekeeper.Clock, counter Counter, interpreter Interpreter, node Node) *Prober {
 	return &Prober{clock: clock, counter: counter, interpreter: interpreter, node: node}
 }
 
-// Run asks until ctx is done.
+// Run probes the upstream, whenever that is needed, until ctx is done.
 func (p *Prober) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		timekeeper.Sleep(ctx, p.clock, p.step(ctx))
+		timekeeper.Sleep(ctx, p.clock, p.probeIfNeeded(ctx))
 	}
 }
 
-// step asks if that is of use now, and returns when to look again.
-func (p *Prober) step(ctx context.Context) time.Duration {
+// probeIfNeeded probes the upstream if that is needed now, and returns the time until the next check.
+func (p *Prober) probeIfNeeded(ctx context.Context) time.Duration {
 	subject := p.node.Subject()
 	if !subject.Address.IsValid() || subject.HealthPath == "" {
-		return startInterval
+		return unconfiguredInterval
 	}
 	if !subject.IsReady {
-		p.find(ctx, &subject)
-		return findInterval
+		p.discover(ctx, &subject)
+		return discoveryInterval
 	}
 	if !subject.Running && subject.TellsLoad {
 		return idleInterval
@@ -101,22 +108,23 @@
 	if subject.TellsLoad && subject.LoadAge < busyInterval {
 		return busyInterval - subject.LoadAge
 	}
-	answer, status := p.ask(ctx, &subject)
+	answer, status := p.probe(ctx, &subject)
 	if status == 0 || !answer.HasLoad {
-		return findInterval
+		return discoveryInterval
 	}
 	p.node.Report(answer.Load)
 	return busyInterval
 }
 
-// find looks for the process that is known, or for any where none is.
-func (p *Prober) find(ctx context.Context, subject *Subject) {
-	answer, status := p.ask(ctx, subject)
+// discover probes an upstream that is not known to be ready. It reports the known process to the node, or any
+// process if none is known, when the upstream is healthy.
+func (p *Prober) discover(ctx context.Context, subject *Subject) {
+	answer, status := p.probe(ctx, subject)
 	if status != fasthttp.StatusOK || answer.Instance == "" {
 		return
 	}
 	if subject.Instance != "" && answer.Instance != subject.Instance {
-		// The address may belong to another service by now: its own announcement will tell.
+		// The address possibly belongs to another service by now. That service's own announcement will say so.
 		return
 	}
 	p.counter.Event("upstreams_found")
@@ -126,8 +134,9 @@
 	})
 }
 
-// ask returns the answer and its status, or zero where none came.
-func (p *Prober) ask(ctx context.Context, subject *Subject) (interpreter.Answer, int) {
+// probe sends a health request. It returns the answer and its HTTP status, or the status zero if there was no
+// answer.
+func (p *Prober) probe(ctx context.Context, subject *Subject) (interpreter.Answer, int) {
 	if p.pool == nil || p.address != subject.Address {
 		if p.pool != nil {
 			p.pool.Close()
