--- a/internal/conntracker/conntracker.go
+++ b/internal/conntracker/conntracker.go
@@ -1,4 +1,4 @@
-// Package conntracker follows the open connections of an HTTP server, so that they can be cut.
+// Package conntracker keeps track of the open connections of an HTTP server, so that they can all be closed.
 package conntracker
 
 import (
@@ -8,7 +8,7 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Tracker holds the open connections of a server. It is safe for concurrent use.
+// Tracker holds the open connections of one server. It is safe for concurrent use.
 type Tracker struct {
 	mu   sync.Mutex
 	open map[net.Conn]struct{}
@@ -19,7 +19,7 @@
 	return &Tracker{open: make(map[net.Conn]struct{})}
 }
 
-// Follow is a server's ConnState.
+// Follow is the ConnState callback of the server. It adds new connections and removes closed and hijacked ones.
 func (t *Tracker) Follow(conn net.Conn, state fasthttp.ConnState) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -31,7 +31,7 @@
 	}
 }
 
-// Cut closes every open connection at once.
+// Cut closes all open connections at once, without waiting for their requests. Errors of closing are ignored.
 func (t *Tracker) Cut() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
