--- a/internal/claimer/claimer.go
+++ b/internal/claimer/claimer.go
@@ -21,24 +21,31 @@
 )
 
 const (
-	majority  = 2
-	owners    = 3
-	pollEvery = 20 * time.Millisecond
-	maxPoll   = 500 * time.Millisecond
+	// majority is the number of owners that are a majority of ownersPerKey.
+	majority = 2
+	// ownersPerKey is the number of nodes that own a key, if there are as many.
+	ownersPerKey = 3
+	// minPollInterval and maxPollInterval limit the delay, before jitter, between two attempts to claim a key.
+	minPollInterval = 20 * time.Millisecond
+	maxPollInterval = 500 * time.Millisecond
 )
 
-// ErrNoMajority is returned when too few owners could be asked.
+// ErrNoMajority provides the detail of a refusal when too few owners of the key could be reached.
 var ErrNoMajority = merry.Sentinel("too few owners of the idempotency key can be reached")
 
-// Links asks other nodes.
+// Links sends messages to the owners of keys.
 type Links interface {
+	// Claim sends a claim and returns the owner's record of the key.
 	Claim(ctx context.Context, to gossiper.Member, claim Claim) (Record, error)
+	// Release gives up a claim whose request has not run.
 	Release(ctx context.Context, to gossiper.Member, claim Claim) error
+	// Settle sends the outcome of a claimed request.
 	Settle(ctx context.Context, to gossiper.Member, settlement Settlement) error
 }
 
-// Members lists the nodes that can own a service's keys.
+// Members provides the nodes that can own keys.
 type Members interface {
+	// Owners returns the nodes that can own the keys of a service.
 	Owners(service string) []gossiper.Member
 	// IsRunning reports whether the entry node that made the claim is still the same process.
 	IsRunning(claimant string) bool
@@ -51,13 +58,13 @@
 	members Members
 }
 
-// New returns a claimer.
+// New returns a claimer that reaches the owners through links.
 func New(clock timekeeper.Clock, links Links, members Members) *Claimer {
 	return &Claimer{clock: clock, links: links, members: members}
 }
 
-// ownersOf returns the nodes with the highest random weights for the key (Thaler and Ravishankar,
-// 1998), so that all entry nodes agree on them without talking.
+// ownersOf returns the owners of the key by rendezvous hashing (highest random weight; Thaler and Ravishankar,
+// 1998), so that all entry nodes agree on them without communication.
 func (c *Claimer) ownersOf(key Key) []gossiper.Member {
 	members := slices.Clone(c.members.Owners(key.Service))
 	weight := func(m gossiper.Member) uint64 {
@@ -73,10 +80,12 @@
 			return strings.Compare(a.Name, b.Name)
 		}
 	})
-	return members[:min(owners, len(members))]
+	return members[:min(ownersPerKey, len(members))]
 }
 
-// Run implements dispatcher.Claims.
+// Run implements dispatcher.Claims: it calls run when the key is claimed at enough of its owners. If an earlier
+// request with the key was answered, it returns that answer in resp. While another claim holds the key it retries
+// with exponential backoff and jitter until the call's deadline.
 func (c *Claimer) Run(ctx context.Context, call *dispatcher.Call, req *fasthttp.Request, resp *fasthttp.Response, run func() *refuser.Refusal) *refuser.Refusal {
 	key := Key{Key: call.Key, Neighbour: call.Neighbour, Service: call.Service}
 	claim := Claim{
@@ -84,32 +93,32 @@
 		Fingerprint: uint64(quarantiner.FingerprintOf(call.Service, req.Header.Method(), req.Header.RequestURI(), req.Body())),
 		Key:         key,
 	}
-	nodes := c.ownersOf(key)
-	if len(nodes) == 0 {
-		return unasked(ErrNoMajority.Error())
+	owners := c.ownersOf(key)
+	if len(owners) == 0 {
+		return refuseUnclaimed(ErrNoMajority.Error())
 	}
-	pause := pollEvery
+	delay := minPollInterval
 	for c.clock.Now().Before(call.Deadline) && ctx.Err() == nil {
-		records := c.ask(ctx, nodes, claim)
-		record, granted := decide(records, claim)
+		records := c.claimAtOwners(ctx, owners, claim)
+		record, granted := decideClaim(records, claim)
 		switch {
 		case granted:
-			return c.runClaimed(nodes, claim, resp, run)
+			return c.runClaimed(owners, claim, resp, run)
 		case record == nil:
-			c.release(nodes, claim)
-			return notClaimed(records)
+			c.releaseAtOwners(owners, claim)
+			return refuseWithoutMajority(records)
 		case record.Fingerprint != claim.Fingerprint:
 			return refuser.New(refuser.ReasonKeyReused, "the idempotency key was used for another request")
 		case record.State == StateAnswered:
-			return unpack(record.Answer, resp)
+			return unpackAnswer(record.Answer, resp)
 		case record.State == StateUnknown:
 			return refuser.Unknown(refuser.ReasonOutcomeUnknown, "an earlier request with this key may have run")
 		case !c.members.IsRunning(record.Claimant):
 			return refuser.Unknown(refuser.ReasonOutcomeUnknown, "the node that ran an earlier request with this key is gone")
 		}
-		c.release(nodes, claim)
-		timekeeper.Sleep(ctx, c.clock, pause+jitter(claim.Claimant, pause))
-		pause = min(2*pause, maxPoll)
+		c.releaseAtOwners(owners, claim)
+		timekeeper.Sleep(ctx, c.clock, delay+jitter(claim.Claimant, delay))
+		delay = min(2*delay, maxPollInterval)
 	}
 	return &refuser.Refusal{
 		Reason: refuser.ReasonDeadline, NotRun: refuser.NotRunUnknown, RetryAfter: time.Second,
@@ -117,34 +126,36 @@
 	}
 }
 
-func notClaimed(records []*Record) *refuser.Refusal {
+// refuseWithoutMajority refuses a request whose claim was not granted although no owner reported another claim.
+func refuseWithoutMajority(records []*Record) *refuser.Refusal {
 	detail := ErrNoMajority.Error()
 	for _, record := range records {
 		if record != nil && record.State == StateFull {
 			detail = "the owners of the idempotency key have no room for another"
 		}
 	}
-	return unasked(detail)
+	return refuseUnclaimed(detail)
 }
 
-// unasked refuses a request whose key may have been used before: nobody could be asked.
-func unasked(detail string) *refuser.Refusal {
+// refuseUnclaimed refuses a request without stating that it has not run: the key was possibly used before, which
+// could not be found out.
+func refuseUnclaimed(detail string) *refuser.Refusal {
 	return &refuser.Refusal{
 		Reason: refuser.ReasonNoUpstream, NotRun: refuser.NotRunUnknown, RetryAfter: time.Second, Detail: detail,
 	}
 }
 
-// ask sends the claim to every owner and waits for all of them. An owner that can't be asked gives
-// nil.
-func (c *Claimer) ask(ctx context.Context, nodes []gossiper.Member, claim Claim) []*Record {
+// claimAtOwners sends the claim to all owners in parallel and waits for all of them. The record of an owner that
+// could not be reached is nil.
+func (c *Claimer) claimAtOwners(ctx context.Context, owners []gossiper.Member, claim Claim) []*Record {
 	type reply struct {
 		index  int
 		record *Record
 	}
-	replies := make(chan reply, len(nodes))
-	for i, node := range nodes {
+	replies := make(chan reply, len(owners))
+	for i, owner := range owners {
 		go func() {
-			record, err := c.links.Claim(ctx, node, claim)
+			record, err := c.links.Claim(ctx, owner, claim)
 			if err != nil {
 				replies <- reply{index: i}
 				return
@@ -152,41 +163,42 @@
 			replies <- reply{i, &record}
 		}()
 	}
-	records := make([]*Record, len(nodes))
-	for range nodes {
+	records := make([]*Record, len(owners))
+	for range owners {
 		r := <-replies
 		records[r.index] = r.record
 	}
 	return records
 }
 
-// decide reports whether enough owners gave the key to the claim: a majority of owners that can't
-// have forgotten an earlier claim, or all of them. Otherwise it returns the record of another claim
-// that is furthest, or nil when there is none.
-func decide(records []*Record, claim Claim) (*Record, bool) {
-	granted, firm := 0, 0
+// decideClaim reports whether enough owners granted the claim: a majority of owners that can't have lost an
+// earlier claim, or all owners. Otherwise it returns the record of another claim, the one whose state takes
+// precedence, or nil if there is none.
+func decideClaim(records []*Record, claim Claim) (*Record, bool) {
+	granted, reliable := 0, 0
 	var other *Record
 	for _, record := range records {
 		switch {
 		case record == nil || record.State == StateFull:
 		case record.Claimant == claim.Claimant && record.State == StateClaimed:
 			granted++
-			if !record.Young {
-				firm++
+			if !record.RecentlyStarted {
+				reliable++
 			}
-		case other == nil || precedence(record.State) > precedence(other.State):
+		case other == nil || statePrecedence(record.State) > statePrecedence(other.State):
 			other = record
 		}
 	}
-	// What any owner knows counts, however many have given the key. Two claims that meet both give
-	// way and try again.
+	// Another claim known to any owner prevents the grant, however many owners granted this one. Of two
+	// concurrent claims both are released and retried.
 	if other != nil {
 		return other, false
 	}
-	return nil, granted == len(records) || (len(records) == owners && firm >= majority)
+	return nil, granted == len(records) || (len(records) == ownersPerKey && reliable >= majority)
 }
 
-func precedence(state State) int {
+// statePrecedence ranks the states for decideClaim: answered, then unknown, then all others.
+func statePrecedence(state State) int {
 	switch state {
 	case StateAnswered:
 		return 2
@@ -197,54 +209,58 @@
 	}
 }
 
-// runClaimed has the request run and tells the owners how it ended.
-func (c *Claimer) runClaimed(nodes []gossiper.Member, claim Claim, resp *fasthttp.Response, run func() *refuser.Refusal) *refuser.Refusal {
+// runClaimed runs the request and reports its outcome to the owners. An answer of more than maxAnswerBytes is not
+// kept: the key is settled as StateUnknown.
+func (c *Claimer) runClaimed(owners []gossiper.Member, claim Claim, resp *fasthttp.Response, run func() *refuser.Refusal) *refuser.Refusal {
 	refusal := run()
 	if refusal != nil && refusal.IsNotRun() {
-		c.release(nodes, claim)
+		c.releaseAtOwners(owners, claim)
 		return refusal
 	}
 	settlement := Settlement{Claim: claim, State: StateUnknown}
 	if refusal == nil {
-		if packed := carrier.Pack(resp); len(packed) <= maxAnswerBytes {
+		if encoded := carrier.Pack(resp); len(encoded) <= maxAnswerBytes {
 			settlement.State = StateAnswered
-			settlement.Answer = packed
+			settlement.Answer = encoded
 		}
 	}
-	c.tell(nodes, func(ctx context.Context, node gossiper.Member) {
-		// An owner that does not hear of it keeps the claim, which lets nobody run again.
-		_ = c.links.Settle(ctx, node, settlement)
+	c.forEachOwner(owners, func(ctx context.Context, owner gossiper.Member) {
+		// An owner that does not receive the settlement keeps the claim, so that the request is not run again.
+		_ = c.links.Settle(ctx, owner, settlement)
 	})
 	return refusal
 }
 
-func (c *Claimer) release(nodes []gossiper.Member, claim Claim) {
-	c.tell(nodes, func(ctx context.Context, node gossiper.Member) {
-		_ = c.links.Release(ctx, node, claim)
+// releaseAtOwners gives up the claim at all owners. An owner that can't be reached keeps the claim.
+func (c *Claimer) releaseAtOwners(owners []gossiper.Member, claim Claim) {
+	c.forEachOwner(owners, func(ctx context.Context, owner gossiper.Member) {
+		_ = c.links.Release(ctx, owner, claim)
 	})
 }
 
-// tell calls f for every node and waits. The caller's context is not used: the owners must hear of
-// the outcome even when the caller has gone.
-func (c *Claimer) tell(nodes []gossiper.Member, f func(ctx context.Context, node gossiper.Member)) {
-	done := make(chan struct{}, len(nodes))
-	for _, node := range nodes {
+// forEachOwner calls f for all owners in parallel and waits. It does not use the caller's context, because the
+// owners must receive the outcome even if the caller has disconnected.
+func (c *Claimer) forEachOwner(owners []gossiper.Member, f func(ctx context.Context, owner gossiper.Member)) {
+	done := make(chan struct{}, len(owners))
+	for _, owner := range owners {
 		go func() {
-			f(context.Background(), node)
+			f(context.Background(), owner)
 			done <- struct{}{}
 		}()
 	}
-	for range nodes {
+	for range owners {
 		<-done
 	}
 }
 
-// jitter keeps two claimants that got in each other's way from doing so again.
+// jitter returns a delay below bound that depends on the claimant, so that two claimants that blocked each other
+// do not retry at the same time.
 func jitter(claimant string, bound time.Duration) time.Duration {
 	return time.Duration(xxhash.Sum64String(claimant) % uint64(bound))
 }
 
-func unpack(answer []byte, resp *fasthttp.Response) *refuser.Refusal {
+// unpackAnswer decodes a kept answer into resp.
+func unpackAnswer(answer []byte, resp *fasthttp.Response) *refuser.Refusal {
 	resp.Reset()
 	if err := resp.Read(bufio.NewReader(bytes.NewReader(answer))); err != nil {
 		return refuser.Unknown(refuser.ReasonOutcomeUnknown, "the kept answer can't be read")
--- a/internal/claimer/claimer_test.go
+++ b/internal/claimer/claimer_test.go
@@ -25,69 +25,69 @@
 	seeder.Fix(200, 20)
 }
 
-var errLost = errors.New("message lost")
-
-// owners5 are five nodes with their tables; messages to and from them can be lost.
-type owners5 struct {
-	mu     sync.Mutex
-	loss   float64
-	random *rand.Rand
-	tables map[string]*Table
+var errMessageLost = errors.New("message lost")
+
+// testOwners implements Links and Members with five owner nodes. Messages to and from them can be lost.
+type testOwners struct {
+	mu       sync.Mutex
+	lossRate float64
+	random   *rand.Rand
+	tables   map[string]*Table
 }
 
-func newOwners() *owners5 {
-	o := &owners5{random: rand.New(rand.NewPCG(1, 1)), tables: make(map[string]*Table)}
+func newTestOwners() *testOwners {
+	o := &testOwners{random: rand.New(rand.NewPCG(1, 1)), tables: make(map[string]*Table)}
 	for i := range 5 {
 		o.tables[fmt.Sprintf("n%d", i)] = NewTable(timekeeper.System{})
 	}
 	return o
 }
 
-func (o *owners5) lost() bool {
+func (o *testOwners) losesMessage() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.random.Float64() < o.loss
+	return o.random.Float64() < o.lossRate
 }
 
-func (o *owners5) table(name string) *Table {
+func (o *testOwners) table(name string) *Table {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.tables[name]
 }
 
 // Claim implements Links.
-func (o *owners5) Claim(_ context.Context, to gossiper.Member, claim Claim) (Record, error) {
+func (o *testOwners) Claim(_ context.Context, to gossiper.Member, claim Claim) (Record, error) {
 	time.Sleep(time.Millisecond)
-	if o.lost() {
-		return Record{}, errLost
+	if o.losesMessage() {
+		return Record{}, errMessageLost
 	}
 	record := o.table(to.Name).Claim(claim)
-	if o.lost() {
-		return Record{}, errLost
+	if o.losesMessage() {
+		return Record{}, errMessageLost
 	}
 	return record, nil
 }
 
 // Release implements Links.
-func (o *owners5) Release(_ context.Context, to gossiper.Member, claim Claim) error {
-	if o.lost() {
-		return errLost
+func (o *testOwners) Release(_ context.Context, to gossiper.Member, claim Claim) error {
+	if o.losesMessage() {
+		return errMessageLost
 	}
 	o.table(to.Name).Release(claim)
 	return nil
 }
 
 // Settle implements Links.
-func (o *owners5) Settle(_ context.Context, to gossiper.Member, settlement Settlement) error {
-	if o.lost() {
-		return errLost
+func (o *testOwners) Settle(_ context.Context, to gossiper.Member, settlement Settlement) error {
+	if o.losesMessage() {
+		return errMessageLost
 	}
 	o.table(to.Name).Settle(settlement)
 	return nil
 }
 
 // Owners implements Members.
-func (o *owners5) Owners(string) []gossiper.Member {
+func (o *testOwners) Owners(string) []gossiper.Member {
 	var members []gossiper.Member
 	for i := range 5 {
 		members = append(members, gossiper.Member{Name: fmt.Sprintf("n%d", i)})
@@ -96,34 +96,35 @@
 }
 
 // IsRunning implements Members.
-func (*owners5) IsRunning(string) bool { return true }
-
-// repeats sends the same keyed request again and again, at once and later, while messages are lost
-// and one owner at a time forgets.
-type repeats struct {
-	*owners5
-	answered int
-	calls    int
-	forgot   bool
-	ran      int
+func (*testOwners) IsRunning(string) bool { return true }
+
+// repeatedRequest is a rapid state machine that sends the same keyed request repeatedly, concurrently and in
+// succession, while messages are lost and one owner is restarted.
+type repeatedRequest struct {
+	*testOwners
+	answeredCount int
+	callCount     int
+	restarted     bool
+	runCount      int
 }
 
-func (r *repeats) send(t *rapid.T) {
+// send sends up to four concurrent copies of the request at the drawn loss rate.
+func (r *repeatedRequest) send(t *rapid.T) {
 	copies := rapid.IntRange(1, 4).Draw(t, "copies")
-	loss := rapid.SampledFrom([]float64{0, 0.2, 0.5}).Draw(t, "loss")
+	lossRate := rapid.SampledFrom([]float64{0, 0.2, 0.5}).Draw(t, "loss")
 	r.mu.Lock()
-	r.loss = loss
+	r.lossRate = lossRate
 	r.mu.Unlock()
-	var sending sync.WaitGroup
+	var callers sync.WaitGroup
 	for range copies {
-		r.calls++
+		r.callCount++
 		call := &dispatcher.Call{
-			Deadline: time.Now().Add(2 * time.Second), ID: fmt.Sprintf("entry.1.%d", r.calls), Key: "k", Neighbour: "a", Service: "s",
+			Deadline: time.Now().Add(2 * time.Second), ID: fmt.Sprintf("entry.1.%d", r.callCount), Key: "k", Neighbour: "a", Service: "s",
 		}
-		sending.Go(func() {
+		callers.Go(func() {
 			refusal := New(timekeeper.System{}, r, r).Run(context.Background(), call, &fasthttp.Request{}, &fasthttp.Response{}, func() *refuser.Refusal {
 				r.mu.Lock()
-				r.ran++
+				r.runCount++
 				r.mu.Unlock()
 				time.Sleep(5 * time.Millisecond)
 				return nil
@@ -131,54 +132,58 @@
 			r.mu.Lock()
 			defer r.mu.Unlock()
 			if refusal == nil {
-				r.answered++
+				r.answeredCount++
 			}
-			if refusal != nil && refusal.IsNotRun() && r.ran > 0 {
-				t.Errorf("the request has run and its caller is told that it has not: %v", refusal)
+			if refusal != nil && refusal.IsNotRun() && r.runCount > 0 {
+				t.Errorf("the request has run but its caller is told that it has not: %v", refusal)
 			}
 		})
 	}
-	sending.Wait()
+	callers.Wait()
 }
 
-// pass lets time go by, within the time that claims are kept.
-func (r *repeats) pass(t *rapid.T) {
+// advanceTime lets 1 to 30 seconds pass, within the time that claims are kept.
+func (r *repeatedRequest) advanceTime(t *rapid.T) {
 	time.Sleep(time.Duration(rapid.IntRange(1, 30).Draw(t, "seconds")) * time.Second)
 }
 
-// forget restarts one owner, once.
-func (r *repeats) forget(t *rapid.T) {
-	if r.forgot {
+// restartOwner restarts one owner, which loses its table. It does so once.
+func (r *repeatedRequest) restartOwner(t *rapid.T) {
+	if r.restarted {
 		return
 	}
-	r.forgot = true
+	r.restarted = true
 	name := fmt.Sprintf("n%d", rapid.IntRange(0, 4).Draw(t, "owner"))
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.tables[name] = NewTable(timekeeper.System{})
 }
 
-func (r *repeats) check(t *rapid.T) {
-	if r.ran > 1 {
-		t.Fatalf("the request ran %d times", r.ran)
+// check verifies that the request has run at most once, and has run if it was answered.
+func (r *repeatedRequest) check(t *rapid.T) {
+	if r.runCount > 1 {
+		t.Fatalf("the request ran %d times", r.runCount)
 	}
-	if r.answered > 0 && r.ran == 0 {
+	if r.answeredCount > 0 && r.runCount == 0 {
 		t.Fatal("a request that has not run was answered")
 	}
 }
 
+// TestKeyedRequestRunsOnce guards against requests with the same idempotency key that run more than once when
+// copies, lost messages and the restart of an owner come together.
 func TestKeyedRequestRunsOnce(t *testing.T) {
-	// The first response written starts a goroutine of the HTTP library that never ends.
+	// Writing the first response starts a goroutine of the HTTP library that never ends, so that it has to be
+	// started outside the bubble.
 	if _, err := (&fasthttp.Response{}).WriteTo(io.Discard); err != nil {
 		t.Fatal(err)
 	}
 	synctest.Test(t, func(t *testing.T) {
 		rapid.Check(seeder.InBubble(t), func(rt *rapid.T) {
-			r := &repeats{owners5: newOwners()}
+			r := &repeatedRequest{testOwners: newTestOwners()}
 			if rapid.Bool().Draw(rt, "old") {
-				time.Sleep(KeepTime)
+				time.Sleep(Retention)
 			}
-			rt.Repeat(map[string]func(*rapid.T){"": r.check, "forget": r.forget, "pass": r.pass, "send": r.send})
+			rt.Repeat(map[string]func(*rapid.T){"": r.check, "forget": r.restartOwner, "pass": r.advanceTime, "send": r.send})
 		})
 	})
 }
--- a/internal/claimer/table.go
+++ b/internal/claimer/table.go
@@ -1,5 +1,5 @@
-// Package claimer makes requests that share an idempotency key run once. An entry node claims the
-// key at several owner nodes before the request runs; owners keep the answer for later requests.
+// Package claimer ensures that requests with the same idempotency key run once. An entry node claims the key at
+// several owner nodes before it runs the request. The owners keep the answer for later requests with the key.
 package claimer
 
 import (
@@ -10,61 +10,69 @@
 	"github.com/marigoldrelay/marigoldrelay/internal/timekeeper"
 )
 
-// Limits of a Table.
+// The limits of a Table.
 const (
-	KeepTime       = 10 * time.Minute
+	// Retention is how long a claim or an outcome is kept after its last change.
+	Retention = 10 * time.Minute
+	// maxAnswerBytes is the largest encoded answer that owners keep.
 	maxAnswerBytes = 64 << 10
-	maxTableBytes  = 32 << 20
-	claimBytes     = 512
+	// maxTableBytes is the size above which no further key is claimed.
+	maxTableBytes = 32 << 20
+	// claimOverheadBytes is the size that a key without an answer counts for.
+	claimOverheadBytes = 512
 )
 
-// State is what an owner knows of a key.
+// State is the state of a key at one of its owners.
 type State string
 
 // The states of a key.
 const (
 	// StateAnswered means that the request has run and the answer is kept.
 	StateAnswered State = "answered"
-	// StateClaimed means that an entry node is having the request run.
+	// StateClaimed means that an entry node has claimed the key to run the request.
 	StateClaimed State = "claimed"
-	// StateFull means that the owner has no room for another key.
+	// StateFull means that the owner has no space for another key.
 	StateFull State = "full"
-	// StateUnknown means that the request may have run, and that there is no answer to give.
+	// StateUnknown means that the request has possibly run and that no answer is available.
 	StateUnknown State = "unknown"
 )
 
-// Key identifies a request for which a caller may ask again.
+// Key identifies a request that a caller can repeat.
 type Key struct {
+	// Key is the caller's idempotency key. The same key of another neighbour, or for another service, is a
+	// different one.
 	Key       string `json:"key"`
 	Neighbour string `json:"neighbour"`
 	Service   string `json:"service"`
 }
 
-// Claim is a request of an entry node for a key.
+// Claim is an entry node's request for the right to run the request with a key.
 type Claim struct {
-	// Claimant names the entry node's call that wants to run the request.
+	// Claimant is the ID of the entry node's call that is to run the request.
 	Claimant string `json:"claimant"`
-	// Fingerprint tells different requests with the same key apart.
+	// Fingerprint distinguishes different requests with the same key.
 	Fingerprint uint64 `json:"fingerprint"`
 	Key         Key    `json:"key"`
 }
 
-// Record is an owner's answer to a claim: the state and who holds the key.
+// Record is an owner's answer to a claim: the state of the key and the claim that holds it.
 type Record struct {
+	// Answer is the encoded response, in StateAnswered.
 	Answer      []byte `json:"answer,omitempty"`
 	Claimant    string `json:"claimant"`
 	Fingerprint uint64 `json:"fingerprint"`
 	State       State  `json:"state"`
-	// Young is true for an owner that has started within KeepTime: it may have forgotten claims.
-	Young bool `json:"young,omitempty"`
+	// RecentlyStarted is true if the owner started less than Retention ago, so that it can have lost claims.
+	RecentlyStarted bool `json:"young,omitempty"`
 }
 
+// row is the record of one key with its time of expiry.
 type row struct {
 	Record
-	expires time.Time
+	expiresAt time.Time
 }
 
-// Table is the part of the keys that one node owns. It is safe for concurrent use.
+// Table holds the keys that one node owns, in memory. It is safe for concurrent use.
 type Table struct {
 	clock   timekeeper.Clock
 	started time.Time
@@ -74,87 +82,93 @@
 	rows  map[Key]*row
 }
 
-// NewTable returns an empty table.
+// NewTable returns an empty table. Its owner counts as recently started from now on.
 func NewTable(clock timekeeper.Clock) *Table {
 	return &Table{clock: clock, rows: make(map[Key]*row), started: clock.Now()}
 }
 
-// Claim gives the key to the claimant if nobody has it, and returns who has it now.
+// Claim gives the key to the claimant if it is free, and returns the record of its current holder. It returns
+// StateFull if the table has no space for another key.
 func (t *Table) Claim(claim Claim) Record {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock.Now()
 	t.expire(now)
-	young := now.Sub(t.started) < KeepTime
+	recentlyStarted := now.Sub(t.started) < Retention
 	if old, ok := t.rows[claim.Key]; ok {
 		record := old.Record
-		record.Young = young
+		record.RecentlyStarted = recentlyStarted
 		return record
 	}
-	if t.bytes+claimBytes > maxTableBytes {
+	if t.bytes+claimOverheadBytes > maxTableBytes {
 		return Record{State: StateFull}
 	}
-	one := &row{
-		Record:  Record{Claimant: claim.Claimant, Fingerprint: claim.Fingerprint, State: StateClaimed},
-		expires: now.Add(KeepTime),
+	r := &row{
+		Record:    Record{Claimant: claim.Claimant, Fingerprint: claim.Fingerprint, State: StateClaimed},
+		expiresAt: now.Add(Retention),
 	}
-	t.rows[claim.Key] = one
-	t.bytes += claimBytes
-	record := one.Record
-	record.Young = young
+	t.rows[claim.Key] = r
+	t.bytes += claimOverheadBytes
+	record := r.Record
+	record.RecentlyStarted = recentlyStarted
 	return record
 }
 
-// Release gives up a claim of a request that has certainly not run.
+// Release removes a claim whose request has certainly not run. It has no effect on a settled key or on one that
+// another claimant holds.
 func (t *Table) Release(claim Claim) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	one, ok := t.rows[claim.Key]
-	if !ok || one.Claimant != claim.Claimant || one.State != StateClaimed {
+	r, ok := t.rows[claim.Key]
+	if !ok || r.Claimant != claim.Claimant || r.State != StateClaimed {
 		return
 	}
-	t.drop(claim.Key, one)
+	t.remove(claim.Key, r)
 }
 
 // Settlement is the outcome of a claimed request.
 type Settlement struct {
+	// Answer is the encoded response, in StateAnswered.
 	Answer []byte `json:"answer,omitempty"`
 	Claim  Claim  `json:"claim"`
 	State  State  `json:"state"`
 }
 
-// Settle stores the outcome for later claims of the key.
+// Settle stores the outcome for later claims of the key, also if the table has no claim of it. It has no effect
+// on a key that another claimant holds.
 func (t *Table) Settle(s Settlement) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	one, ok := t.rows[s.Claim.Key]
+	r, ok := t.rows[s.Claim.Key]
 	if !ok {
-		one = &row{Record: Record{Claimant: s.Claim.Claimant, Fingerprint: s.Claim.Fingerprint}}
-		t.rows[s.Claim.Key] = one
-		t.bytes += claimBytes
+		r = &row{Record: Record{Claimant: s.Claim.Claimant, Fingerprint: s.Claim.Fingerprint}}
+		t.rows[s.Claim.Key] = r
+		t.bytes += claimOverheadBytes
 	}
-	if one.Claimant != s.Claim.Claimant {
+	if r.Claimant != s.Claim.Claimant {
 		return
 	}
-	t.bytes += len(s.Answer) - len(one.Answer)
-	one.State = s.State
-	one.Answer = s.Answer
-	one.expires = t.clock.Now().Add(KeepTime)
+	t.bytes += len(s.Answer) - len(r.Answer)
+	r.State = s.State
+	r.Answer = s.Answer
+	r.expiresAt = t.clock.Now().Add(Retention)
 }
 
+// expire removes expired keys. It scans the table only if that is at least half full or the number of keys is a
+// multiple of 64.
 func (t *Table) expire(now time.Time) {
 	if t.bytes < maxTableBytes/2 && len(t.rows)%64 != 0 {
 		return
 	}
-	for key, one := range t.rows {
-		if now.After(one.expires) {
-			t.drop(key, one)
+	for key, r := range t.rows {
+		if now.After(r.expiresAt) {
+			t.remove(key, r)
 		}
 	}
 }
 
-func (t *Table) drop(key Key, one *row) {
-	t.bytes -= claimBytes + len(one.Answer)
+func (t *Table) remove(key Key, r *row) {
+	t.bytes -= claimOverheadBytes + len(r.Answer)
 	delete(t.rows, key)
 	asserter.That(t.bytes >= 0, "claim-table-bytes", "%d bytes", t.bytes)
 }
