--- a/internal/recorder/recorder.go
+++ b/internal/recorder/recorder.go
@@ -1,5 +1,5 @@
-// Package recorder remembers which attempts a node has received, so that each runs at most once and
-// a sender that lost the connection can learn the outcome.
+// Package recorder records which attempts a node has received, so that each runs at most once and a sender that
+// lost the connection can find out the outcome.
 package recorder
 
 import (
@@ -11,78 +11,85 @@
 	"github.com/marigoldrelay/marigoldrelay/internal/timekeeper"
 )
 
-// Errors of Begin.
+// The errors of Begin.
 var (
-	ErrBarred    = merry.Sentinel("attempt is barred")
+	// ErrBarred is returned for an attempt that was resolved before it arrived or is older than the retention time.
+	ErrBarred = merry.Sentinel("attempt is barred")
+	// ErrDuplicate is returned for an attempt that is running or has run.
 	ErrDuplicate = merry.Sentinel("attempt was received before")
 )
 
-// State is what a node knows of an attempt.
+// State is the state of an attempt at the node that it was sent to.
 type State string
 
 // The states of an attempt.
 const (
-	// StateBarred means that the attempt was never received and will be refused if it comes.
+	// StateBarred means that the attempt was not received and will be refused if it arrives.
 	StateBarred State = "barred"
-	// StateDone means that the attempt has its outcome.
+	// StateDone means that the outcome of the attempt is known.
 	StateDone State = "done"
 	// StateRunning means that the attempt was received and has no outcome yet.
 	StateRunning State = "running"
 )
 
-// Defaults of a Recorder.
+// The limits of a Recorder.
 const (
-	DefaultKeepTime = 2 * time.Minute
+	// DefaultRetention is how long the record of a finished or barred attempt is kept.
+	DefaultRetention = 2 * time.Minute
+	// DefaultMaxBytes is the size of all records above which the oldest answers are dropped.
 	DefaultMaxBytes = 32 << 20
 )
 
-// recordBytes is what a record without an answer counts for.
-const recordBytes = 256
+// recordOverheadBytes is the size that a record without an answer counts for.
+const recordOverheadBytes = 256
 
-// ID names an attempt. A sender numbers its attempts in rising order from 1.
+// ID identifies an attempt. A sender numbers its attempts in increasing order from 1.
 type ID struct {
-	// Sender is the sending node and its incarnation.
+	// Sender is the name of the sending node with its incarnation.
 	Sender   string
 	Sequence uint64
 }
 
+// record is what is known of one attempt. The time of expiry and the size are set once the attempt is finished or
+// barred.
 type record struct {
-	answer  []byte
-	done    chan struct{}
-	expires time.Time
-	id      ID
-	size    int
-	state   State
+	answer    []byte
+	done      chan struct{}
+	expiresAt time.Time
+	id        ID
+	size      int
+	state     State
 }
 
-// Recorder holds the records of one node's incarnation. It is safe for concurrent use.
+// Recorder holds the records of the attempts that one incarnation of a node has received. It is safe for
+// concurrent use.
 type Recorder struct {
-	clock    timekeeper.Clock
-	keepTime time.Duration
-	maxBytes int
-
-	mu      sync.Mutex
-	bytes   int
-	oldest  []*record
-	records map[ID]*record
-	// passed is, for each sender, the highest sequence number whose record has expired. An unknown
-	// attempt up to that number is older than the keep time.
-	passed map[string]uint64
+	clock     timekeeper.Clock
+	retention time.Duration
+	maxBytes  int
+
+	mu    sync.Mutex
+	bytes int
+	// expiryQueue holds the records of finished and barred attempts, the oldest first.
+	expiryQueue []*record
+	records     map[ID]*record
+	// expiredUpTo is the highest sequence number of an expired record, by sender. An attempt up to that number that
+	// has no record is older than the retention time.
+	expiredUpTo map[string]uint64
 }
 
-// New returns an empty recorder.
+// New returns an empty recorder with the default limits.
 func New(clock timekeeper.Clock) *Recorder {
 	return &Recorder{
-		clock:    clock,
-		keepTime: DefaultKeepTime,
-		maxBytes: DefaultMaxBytes,
-		passed:   make(map[string]uint64),
-		records:  make(map[ID]*record),
+		clock:       clock,
+		retention:   DefaultRetention,
+		maxBytes:    DefaultMaxBytes,
+		expiredUpTo: make(map[string]uint64),
+		records:     make(map[ID]*record),
 	}
 }
 
-// Begin notes that the attempt was received. It returns ErrDuplicate or ErrBarred when the attempt
-// must not run.
+// Begin records that the attempt was received. It returns ErrDuplicate or ErrBarred if the attempt must not run.
 func (r *Recorder) Begin(id ID) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -93,14 +100,14 @@
 		}
 		return ErrDuplicate
 	}
-	if r.isPassed(id) {
+	if r.isExpired(id) {
 		return ErrBarred
 	}
 	r.records[id] = &record{done: make(chan struct{}), id: id, state: StateRunning}
 	return nil
 }
 
-// Finish stores the outcome of an attempt for later Resolve calls.
+// Finish stores the outcome of a running attempt for later Resolve calls. It has no effect on other attempts.
 func (r *Recorder) Finish(id ID, answer []byte) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -111,10 +118,11 @@
 	rec.state = StateDone
 	rec.answer = answer
 	close(rec.done)
-	r.keep(rec)
+	r.retain(rec)
 }
 
-// Forget drops a running attempt whose outcome nobody will ask for.
+// Forget removes the record of a running attempt whose outcome will not be requested. It has no effect on other
+// attempts.
 func (r *Recorder) Forget(id ID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -126,8 +134,9 @@
 	delete(r.records, id)
 }
 
-// Resolve returns what is known of an attempt. One that was never received is barred from then
-// on. A running attempt comes with a channel that is closed at its outcome.
+// Resolve returns the state of an attempt and its answer, if that is known. An attempt that was not received is
+// barred from then on. For a running attempt the channel done is closed when its outcome is known or it is
+// forgotten.
 func (r *Recorder) Resolve(id ID) (state State, answer []byte, done <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -136,19 +145,19 @@
 	if !ok {
 		rec = &record{id: id, state: StateBarred}
 		r.records[id] = rec
-		r.keep(rec)
+		r.retain(rec)
 	}
 	return rec.state, rec.answer, rec.done
 }
 
-// keep bounds how long and in how many bytes a final record stays. Only answers are dropped early
-// for want of space, never the record itself, so that a late copy can't run.
-func (r *Recorder) keep(rec *record) {
-	rec.expires = r.clock.Now().Add(r.keepTime)
-	rec.size = recordBytes + len(rec.answer)
+// retain queues the record of a finished or barred attempt for expiry and enforces maxBytes. If space is short only
+// answers are dropped early, never the records themselves, so that a late copy of an attempt can't run.
+func (r *Recorder) retain(rec *record) {
+	rec.expiresAt = r.clock.Now().Add(r.retention)
+	rec.size = recordOverheadBytes + len(rec.answer)
 	r.bytes += rec.size
-	r.oldest = append(r.oldest, rec)
-	for _, old := range r.oldest {
+	r.expiryQueue = append(r.expiryQueue, rec)
+	for _, old := range r.expiryQueue {
 		if r.bytes <= r.maxBytes {
 			break
 		}
@@ -158,23 +167,25 @@
 	}
 }
 
+// expire removes expired records. It is called with mu held.
 func (r *Recorder) expire() {
 	now := r.clock.Now()
-	for len(r.oldest) > 0 && now.After(r.oldest[0].expires) {
-		old := r.oldest[0]
-		r.oldest[0] = nil
-		r.oldest = r.oldest[1:]
+	for len(r.expiryQueue) > 0 && now.After(r.expiryQueue[0].expiresAt) {
+		old := r.expiryQueue[0]
+		r.expiryQueue[0] = nil
+		r.expiryQueue = r.expiryQueue[1:]
 		r.bytes -= old.size
 		delete(r.records, old.id)
-		r.passed[old.id.Sender] = max(r.passed[old.id.Sender], old.id.Sequence)
+		r.expiredUpTo[old.id.Sender] = max(r.expiredUpTo[old.id.Sender], old.id.Sequence)
 	}
 }
 
-func (r *Recorder) isPassed(id ID) bool {
-	return id.Sequence <= r.passed[id.Sender]
+// isExpired reports whether an attempt without a record counts as older than the retention time.
+func (r *Recorder) isExpired(id ID) bool {
+	return id.Sequence <= r.expiredUpTo[id.Sender]
 }
 
-// Len returns the number of records.
+// Len returns the number of records, also of running attempts.
 func (r *Recorder) Len() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/recorder/recorder_test.go
+++ b/internal/recorder/recorder_test.go
@@ -15,19 +15,19 @@
 	seeder.Fix(500, 60)
 }
 
-// manualClock is a clock that a test moves.
+// manualClock is a clock that a test advances.
 type manualClock struct {
 	now time.Time
 }
 
-// AfterFunc implements timekeeper.Clock; recorders do not use it.
+// AfterFunc implements timekeeper.Clock. It does nothing because recorders do not use it.
 func (*manualClock) AfterFunc(time.Duration, func()) timekeeper.Timer { return nil }
 
 // Now implements timekeeper.Clock.
 func (c *manualClock) Now() time.Time { return c.now }
 
-// machine sends attempts of two senders, in any order and more than once.
-type machine struct {
+// attemptMachine is a rapid state machine that sends attempts of two senders, in any order and more than once.
+type attemptMachine struct {
 	barred  map[ID]bool
 	begun   map[ID]bool
 	clock   *manualClock
@@ -35,6 +35,7 @@
 	running []ID
 }
 
+// drawID draws an attempt of one of the senders.
 func drawID(t *rapid.T) ID {
 	return ID{
 		Sender:   rapid.SampledFrom([]string{"a.1", "b.1"}).Draw(t, "sender"),
@@ -42,7 +43,7 @@
 	}
 }
 
-func (m *machine) begin(t *rapid.T) {
+func (m *attemptMachine) begin(t *rapid.T) {
 	id := drawID(t)
 	err := m.r.Begin(id)
 	if err != nil {
@@ -58,7 +59,7 @@
 	m.running = append(m.running, id)
 }
 
-func (m *machine) finish(t *rapid.T) {
+func (m *attemptMachine) finish(t *rapid.T) {
 	if len(m.running) == 0 {
 		return
 	}
@@ -67,54 +68,57 @@
 	m.running = append(m.running[:i], m.running[i+1:]...)
 }
 
-func (m *machine) resolve(t *rapid.T) {
+func (m *attemptMachine) resolve(t *rapid.T) {
 	id := drawID(t)
 	state, _, _ := m.r.Resolve(id)
 	switch {
 	case state == StateBarred && m.isRunning(id):
-		t.Fatalf("%v runs and is told as barred", id)
+		t.Fatalf("%v is running but reported as barred", id)
 	case state == StateRunning && !m.isRunning(id):
-		t.Fatalf("%v does not run and is told as running", id)
+		t.Fatalf("%v is not running but reported as running", id)
 	case state == StateDone && !m.begun[id]:
-		t.Fatalf("%v never began and is told as done", id)
+		t.Fatalf("%v never began but is reported as done", id)
 	case state == StateBarred && !m.begun[id]:
 		m.barred[id] = true
 	}
 }
 
-func (m *machine) isRunning(id ID) bool {
-	for _, one := range m.running {
-		if one == id {
+func (m *attemptMachine) isRunning(id ID) bool {
+	for _, other := range m.running {
+		if other == id {
 			return true
 		}
 	}
 	return false
 }
 
-func (m *machine) pass(t *rapid.T) {
+func (m *attemptMachine) advanceTime(t *rapid.T) {
 	m.clock.now = m.clock.now.Add(time.Duration(rapid.IntRange(1, 90).Draw(t, "seconds")) * time.Second)
 }
 
+// TestAttemptsBeginOnce guards against attempts that begin twice, or after they were barred, and against wrong states
+// of resolved attempts, while records expire and answers are dropped for space.
 func TestAttemptsBeginOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		clock := &manualClock{now: time.Unix(1000, 0)}
-		m := &machine{barred: make(map[ID]bool), begun: make(map[ID]bool), clock: clock, r: New(clock)}
+		m := &attemptMachine{barred: make(map[ID]bool), begun: make(map[ID]bool), clock: clock, r: New(clock)}
 		m.r.maxBytes = 4000
 		t.Repeat(map[string]func(*rapid.T){
-			"begin": m.begin, "finish": m.finish, "pass": m.pass, "resolve": m.resolve,
+			"begin": m.begin, "finish": m.finish, "pass": m.advanceTime, "resolve": m.resolve,
 		})
 	})
 }
 
-// TestLateCopyAfterItsRecordExpired delivers a copy that was held up longer than records are kept.
+// TestLateCopyAfterItsRecordExpired guards against a copy of an attempt that runs because it was delayed for longer
+// than records are kept.
 func TestLateCopyAfterItsRecordExpired(t *testing.T) {
 	clock := &manualClock{now: time.Unix(1000, 0)}
 	r := New(clock)
 	id := ID{Sender: "a.1", Sequence: 7}
 	if state, _, _ := r.Resolve(id); state != StateBarred {
-		t.Fatalf("an unknown attempt is %s", state)
+		t.Fatalf("the state of an unknown attempt is %s", state)
 	}
-	clock.now = clock.now.Add(DefaultKeepTime + time.Second)
+	clock.now = clock.now.Add(DefaultRetention + time.Second)
 	if err := r.Begin(ID{Sender: "b.1", Sequence: 1}); err != nil {
 		t.Fatal(err)
 	}
@@ -122,6 +126,6 @@
 		t.Errorf("%d records are kept, want 1", r.Len())
 	}
 	if err := r.Begin(id); !errors.Is(err, ErrBarred) {
-		t.Errorf("a copy that is older than the records: %v", err)
+		t.Errorf("a copy that is older than the retention time: %v", err)
 	}
 }
