--- a/internal/registrar/registrar.go
+++ b/internal/registrar/registrar.go
@@ -96,13 +96,13 @@
 	}
 	switch {
 	case a.Born < r.current.Born:
-		return fmt.Errorf("%w: process of instance %s started before that of %s", ErrOutdated, a.Instance, r.current.Instance)
+		return fmt.Errorf("%w: instance %s was born before %s", ErrOutdated, a.Instance, r.current.Instance)
 	case a.Born > r.current.Born || a.Instance != r.current.Instance:
 		return nil
 	case a.Sequence < r.current.Sequence:
-		return fmt.Errorf("%w: announcement number %d arrived after number %d", ErrOutdated, a.Sequence, r.current.Sequence)
+		return fmt.Errorf("%w: announcement %d after %d", ErrOutdated, a.Sequence, r.current.Sequence)
 	case r.isLeaving && a.State == announcer.StateReady:
-		return fmt.Errorf("%w: instance %s is already shutting down", ErrOutdated, a.Instance)
+		return fmt.Errorf("%w: instance %s has said that it goes", ErrOutdated, a.Instance)
 	default:
 		return nil
 	}
