--- a/internal/executor/binding_test.go
+++ b/internal/executor/binding_test.go
@@ -19,7 +19,7 @@
 
 var virtualTime = flag.Duration("virtual", 6*time.Second, "virtual time of each run of a policy")
 
-func notSent() *refuser.Refusal {
+func notSentRefusal() *refuser.Refusal {
 	return refuser.New(refuser.ReasonNoUpstream, "not sent")
 }
 
@@ -34,16 +34,17 @@
 	}
 }
 
-// policy is how a run picks targets.
+// policy is a way to pick the target of each call.
 type policy struct {
-	name    string
-	binding bool
-	// choose returns the index of the target; it knows the exact state of all.
+	name        string
+	lateBinding bool
+	// choose returns the index of the target. It can read the exact state of all members.
 	choose func(g *group) int
-	// entry is what each entry node picks by; nil for the weighted policy.
-	entry router.Policy
-	// learns is true when each call goes through one of several entry nodes that learn.
-	learns bool
+	// entryPolicy is the policy of the entry nodes; nil for the weighted policy.
+	entryPolicy router.Policy
+	// viaEntryNodes is true when each call goes through one of several entry nodes, which learn from the
+	// outcomes.
+	viaEntryNodes bool
 }
 
 func shortestQueue(g *group) int {
@@ -57,8 +58,8 @@
 	return best
 }
 
-func anyTarget(g *group) int {
-	return g.pick()
+func randomTarget(g *group) int {
+	return g.randomIndex()
 }
 
 type quantiles struct {
@@ -67,41 +68,41 @@
 	refused        int
 }
 
-func quantilesOf(times []time.Duration, refused int) quantiles {
+func computeQuantiles(times []time.Duration, refused int) quantiles {
 	slices.Sort(times)
 	at := func(q float64) time.Duration { return times[min(len(times)-1, int(q*float64(len(times))))] }
 	return quantiles{p50: at(0.5), p99: at(0.99), p999: at(0.999), answered: len(times), refused: refused}
 }
 
-// target picks where the n-th call goes, and how its entry node learns from the outcome.
+// target returns the member that gets the n-th call, and a function that passes the outcome to the entry node.
 func (p policy) target(g *group, n int) (*member, func(carrier.Outcome)) {
-	if !p.learns {
+	if !p.viaEntryNodes {
 		return g.members[p.choose(g)], func(carrier.Outcome) {}
 	}
 	entry := g.entries[n%len(g.entries)]
 	to, _ := entry.Pick(router.Need{Service: testService}, nil)
 	entry.Sent(to.Name)
-	return g.byName(to.Name), func(o carrier.Outcome) {
+	return g.memberByName(to.Name), func(o carrier.Outcome) {
 		failed := o.Refusal != nil && o.Refusal.Reason == refuser.ReasonUpstreamFailed
 		entry.Learn(to.Name, o.Load, failed)
 	}
 }
 
-// drive sends an open-loop load through the group and returns the times of the answers.
-func drive(g *group, p policy, perSecond float64, length time.Duration, seed uint64) quantiles {
-	return driveRank(g, p, "urgent", "c", perSecond, length, seed)
+// runLoad sends an open-loop load of rank urgent to the group and returns quantiles of the response times.
+func runLoad(g *group, p policy, perSecond float64, length time.Duration, seed uint64) quantiles {
+	return runRankLoad(g, p, "urgent", "c", perSecond, length, seed)
 }
 
-// driveRank is drive with calls of the named rank, whose ids start with the prefix. The ids are the
-// seed of the demands.
-func driveRank(g *group, p policy, rank, prefix string, perSecond float64, length time.Duration, seed uint64) quantiles {
+// runRankLoad is like runLoad, for calls of the given rank whose ids start with the prefix. The ids seed the
+// service times.
+func runRankLoad(g *group, p policy, rank, prefix string, perSecond float64, length time.Duration, seed uint64) quantiles {
 	arrivals := rand.New(rand.NewPCG(seed, 1))
 	var mu sync.Mutex
 	var times []time.Duration
 	refused := 0
 	var calls sync.WaitGroup
 	started := time.Now()
-	warm := length / 6
+	warmUp := length / 6
 	for n := 0; time.Since(started) < length; n++ {
 		id := fmt.Sprintf("%s%d", prefix, n)
 		target, learn := p.target(g, n)
@@ -113,42 +114,47 @@
 			defer mu.Unlock()
 			if outcome.Refusal != nil {
 				refused++
-			} else if arrived.Sub(started) > warm {
+			} else if arrived.Sub(started) > warmUp {
 				times = append(times, time.Since(arrived))
 			}
 		})
 		time.Sleep(time.Duration(arrivals.ExpFloat64() / perSecond * float64(time.Second)))
 	}
 	calls.Wait()
-	// Reservations that are left over are pulled in vain; the bubble ends when all are done.
+	// Remaining reservations still send pulls that find nothing; the synctest bubble ends only when all of
+	// them are done.
 	time.Sleep(time.Second)
-	return quantilesOf(times, refused)
+	return computeQuantiles(times, refused)
 }
 
-// Targets of late binding, relative to the exact shortest queue in the same run.
+// maxTailRatio is the highest allowed ratio of a late-binding p99 or p99.9 to that of the exact shortest
+// queue under the same load.
 const maxTailRatio = 1.10
 
-// collapse is a tail that only grows with the length of a run, as that of random targets.
-const collapse = time.Second
+// maxFullLoadP99 is the highest allowed p99 at full load. A higher one indicates a tail that grows with the
+// length of the run, like that of random targets.
+const maxFullLoadP99 = time.Second
 
-var maxMessages = map[float64]float64{0.75: 0.4, 0.90: 1.6, 0.97: 3}
+// maxMessagesPerCall is the highest allowed number of late-binding messages for each call, by load.
+var maxMessagesPerCall = map[float64]float64{0.75: 0.4, 0.90: 1.6, 0.97: 3}
 
 func ratio(a, b time.Duration) float64 {
 	return float64(a) / float64(b)
 }
 
-// TestLateBinding compares late binding with baselines on 8 instances of 12 slots, one of them a
-// straggler at a third of its speed.
+// TestLateBinding compares late binding with other policies on 8 upstreams of 12 slots, one of which runs at
+// a third of its speed. It guards against a latency tail well above that of an exact shortest queue, and
+// against too many extra messages.
 func TestLateBinding(t *testing.T) {
 	const capacity = (7 + 1.0/3) * testSlots / 0.010
 	policies := []policy{
 		{name: "shortest queue, exact", choose: shortestQueue},
-		{name: "random", choose: anyTarget},
-		{name: "round robin", entry: &router.RoundRobin{}, learns: true},
-		{name: "least own calls", entry: router.LeastOutstanding{}, learns: true},
-		{name: "best of two by reports", entry: router.TwoChoices{}, learns: true},
-		{name: "late binding, blind", binding: true, choose: anyTarget},
-		{name: "late binding, weighted", binding: true, learns: true},
+		{name: "random", choose: randomTarget},
+		{name: "round robin", entryPolicy: &router.RoundRobin{}, viaEntryNodes: true},
+		{name: "least own calls", entryPolicy: router.LeastOutstanding{}, viaEntryNodes: true},
+		{name: "best of two by reports", entryPolicy: router.TwoChoices{}, viaEntryNodes: true},
+		{name: "late binding, blind", lateBinding: true, choose: randomTarget},
+		{name: "late binding, weighted", lateBinding: true, viaEntryNodes: true},
 	}
 	for _, load := range []float64{0.75, 0.90, 0.97, 1.00} {
 		t.Run(fmt.Sprintf("load %.2f", load), func(t *testing.T) {
@@ -156,15 +162,15 @@
 			messages := make(map[string]float64)
 			for _, p := range policies {
 				synctest.Test(t, func(t *testing.T) {
-					g := newGroup(t, 8, p.binding, 1, 1e9, testDocument(time.Minute))
-					g.members[7].factor.Store(3)
-					if p.entry != nil {
-						g.enter(p.entry, 1)
+					g := newGroup(t, 8, p.lateBinding, 1, 1e9, testDocument(time.Minute))
+					g.members[7].slowdown.Store(3)
+					if p.entryPolicy != nil {
+						g.resetEntries(p.entryPolicy, 1)
 					}
-					results[p.name] = drive(g, p, load*capacity, *virtualTime, 1)
-					if p.binding {
-						calls := float64(len(g.ran))
-						messages[p.name] = (g.sum("hand_ons") + g.sum("reservations") + g.sum("pulls")) / calls
+					results[p.name] = runLoad(g, p, load*capacity, *virtualTime, 1)
+					if p.lateBinding {
+						calls := float64(len(g.runs))
+						messages[p.name] = (g.eventSum("hand_ons") + g.eventSum("reservations") + g.eventSum("pulls")) / calls
 					}
 				})
 				r := results[p.name]
@@ -172,8 +178,8 @@
 			}
 			exact, bound := results["shortest queue, exact"], results["late binding, weighted"]
 			if load >= 1 {
-				if bound.p99 > collapse {
-					t.Errorf("p99 is %s at full load, want at most %s", bound.p99, collapse)
+				if bound.p99 > maxFullLoadP99 {
+					t.Errorf("p99 is %s at full load, want at most %s", bound.p99, maxFullLoadP99)
 				}
 				return
 			}
@@ -183,8 +189,8 @@
 			if r := ratio(bound.p999, exact.p999); r > maxTailRatio {
 				t.Errorf("p99.9 is %.2f times that of the exact shortest queue, want at most %.2f", r, maxTailRatio)
 			}
-			if m := messages["late binding, weighted"]; m > maxMessages[load] {
-				t.Errorf("%.2f extra messages a call, want at most %.2f", m, maxMessages[load])
+			if m := messages["late binding, weighted"]; m > maxMessagesPerCall[load] {
+				t.Errorf("%.2f extra messages a call, want at most %.2f", m, maxMessagesPerCall[load])
 			}
 		})
 	}
--- a/internal/executor/executor.go
+++ b/internal/executor/executor.go
@@ -1,7 +1,8 @@
-// Package executor admits attempts to the upstream beside the node. A request that finds no free
-// slot is bound late: it waits at one home node, and whichever sibling frees a slot first asks the
-// home for work (Ousterhout, Wendell, Zaharia and Stoica: Sparrow, 2013). The home alone binds, so
-// a request is bound once.
+// Package executor admits attempts to the upstream beside the node and runs them there.
+//
+// A request that finds no free slot is bound late: it is queued at one node, its home, and the first
+// sibling that frees a slot pulls it from there (Ousterhout, Wendell, Zaharia and Stoica: Sparrow,
+// 2013). Only the home binds requests to slots, so each request is bound once.
 package executor
 
 import (
@@ -28,71 +29,78 @@
 )
 
 const (
-	grantTimeout    = 50 * time.Millisecond
-	maxBindings     = 3
-	maxFailureRate  = 0.2
-	reservationCost = 600 // Bytes of a reservation, the pull and its answer.
-	sweepInterval   = 50 * time.Millisecond
+	// grantTimeout is the timeout of a pull, and how long a slot is then held for the request.
+	grantTimeout = 50 * time.Millisecond
+	// maxBindings is how many times a request is queued at its home if siblings don't keep its slot.
+	maxBindings = 3
+	// maxFailureRate is the failure rate above which reservations are declined.
+	maxFailureRate   = 0.2
+	reservationBytes = 600 // Size of a reservation, the pull and its reply together.
+	sweepInterval    = 50 * time.Millisecond
 )
 
-// Sender takes attempts to other nodes.
+// Sender sends attempts to other nodes.
 type Sender interface {
 	Send(ctx context.Context, to gossiper.Member, a carrier.Attempt, req *fasthttp.Request, resp *fasthttp.Response, deadline time.Time) carrier.Outcome
 }
 
-// Siblings knows the other nodes of a service.
+// Siblings selects and looks up the other nodes of a service. Nodes named in exclude are not selected;
+// the result is false where there is no such node.
 type Siblings interface {
+	// HandOn selects a node for an attempt that found no free slot here.
 	HandOn(service string, exclude []string) (gossiper.Member, bool)
+	// Member returns the node with the name.
 	Member(name string) (gossiper.Member, bool)
+	// Reservation selects a node to place a reservation with.
 	Reservation(service string, exclude []string) (gossiper.Member, bool)
 }
 
-// Links sends the messages of late binding and of crash reports.
+// Links sends the messages of late binding, crash reports and load notices to other nodes.
 type Links interface {
-	// Pull asks home for a request that can run in the slot held under grant.
+	// Pull asks home for a request to run in the slot that this node holds under the grant.
 	Pull(ctx context.Context, home gossiper.Member, request PullRequest) (PullReply, error)
-	// ReportCrash tells the other nodes of a service, and returns when they have heard or a short
-	// time has passed.
+	// ReportCrash reports a crash to the other nodes of the service. It returns when they have replied
+	// or a short timeout has passed.
 	ReportCrash(ctx context.Context, crash quarantiner.Crash)
-	// ReportInnocent tells the other nodes of a service.
+	// ReportInnocent reports to the other nodes of the service that a request has run without a crash.
 	ReportInnocent(ctx context.Context, acquittal quarantiner.Acquittal)
-	// TellLoad tells entry nodes what the upstream can take at the moment.
+	// TellLoad sends the upstream's current load to the entry nodes.
 	TellLoad(entries []string, load carrier.Load)
 	// Reserve places a reservation with a sibling.
 	Reserve(ctx context.Context, to gossiper.Member, request ReserveRequest) error
 }
 
-// Errors of Upstream.Do beside those of package forwarder: the upstream states that it has not run the
-// request.
+// Errors of Upstream.Do besides those of package forwarder. With both, the upstream states that it has
+// not run the request.
 var (
-	// ErrMisdirected is returned where another instance has the upstream's address.
+	// ErrMisdirected means that another instance has taken over the upstream's address.
 	ErrMisdirected = merry.Sentinel("another instance has the address")
-	// ErrShed is returned where the upstream has no room.
+	// ErrShed means that the upstream has no capacity for the request.
 	ErrShed = merry.Sentinel("the upstream has shed the request")
 )
 
-// Upstream runs requests at the upstream beside the node.
+// Upstream sends requests to the upstream beside the node.
 type Upstream interface {
-	// Do sends the request once and leaves the answer in resp. The error wraps one of package
-	// forwarder's, ErrMisdirected or ErrShed.
+	// Do sends the request once and stores the answer in resp. The error wraps an error of package
+	// forwarder, ErrMisdirected or ErrShed.
 	Do(ctx context.Context, req *fasthttp.Request, resp *fasthttp.Response, deadline time.Time) error
-	// IsDown reports, after a lost connection, whether the upstream's process is gone.
+	// IsDown reports whether the instance's process is gone. It is called after a connection was lost.
 	IsDown(ctx context.Context, instance string) bool
 }
 
-// Execution is an attempt with its request, the place for its answer and its limits.
+// Execution is an attempt to run, with its request, the response to fill and its deadline.
 type Execution struct {
 	Attempt  carrier.Attempt
 	Deadline time.Time
 	Request  *fasthttp.Request
 	Response *fasthttp.Response
 
-	// began is when the caller's request came to its entry node, in this node's clock.
-	began time.Time
+	// requestArrived is when the caller's request arrived at its entry node, by this node's clock.
+	requestArrived time.Time
 }
 
-// usefulUntil returns until when a start leads to an answer in time, for an attempt that arrived at the
-// given time; zero where that is not known.
+// usefulUntil returns the latest start time at which the answer still comes in time, for an attempt that
+// arrived at the given time; zero where it is not known.
 func (x *Execution) usefulUntil(arrived time.Time) time.Time {
 	if x.Attempt.Useful == 0 {
 		return time.Time{}
@@ -102,27 +110,29 @@
 
 // Config holds the dependencies of an Executor.
 type Config struct {
-	// Attempted is told of each attempt that has ended here; nil tells nobody.
+	// Attempted is called for each attempt that has ended at this node, except one that the recorder rejects
+	// as a duplicate or barred; it can be nil.
 	Attempted func(x *Execution, outcome *carrier.Outcome, seen Seen)
-	Bytes     *budgeter.Bytes
-	Clock     timekeeper.Clock
-	Links     Links
-	Meter     *meter.Meter
-	Name      string
-	// OnDown is told that the upstream's process is gone.
+	// Bytes is the byte budget for reservations.
+	Bytes *budgeter.Bytes
+	Clock timekeeper.Clock
+	Links Links
+	Meter *meter.Meter
+	Name  string
+	// OnDown is called with the upstream's instance when its process is gone.
 	OnDown      func(instance string)
 	Quarantiner *quarantiner.Quarantiner
 	Recorder    *recorder.Recorder
-	// Repeats bounds what the upstream gets of repeats.
+	// Repeats limits how many repeated requests reach the upstream.
 	Repeats  *budgeter.Repeats
 	Sender   Sender
 	Siblings Siblings
-	// Stamp marks a request with the context that the upstream passes on to calls of its own.
+	// Stamp adds the context to a request that the upstream propagates to its own calls.
 	Stamp    func(a *carrier.Attempt, req *fasthttp.Request, instance string, deadline time.Time)
 	Upstream Upstream
 }
 
-// Executor admits attempts and runs them. It is safe for concurrent use.
+// Executor admits attempts, queues them and runs them at the upstream. It is safe for concurrent use.
 type Executor struct {
 	Config
 
@@ -138,12 +148,12 @@
 	lastGrant    uint64
 	limit        *limiter.Limiter
 	load         loadReport
-	notices      notices
+	notices      loadNotices
 	schedule     *scheduler.Scheduler
-	spent        map[string]time.Time
+	retrySpent   map[string]time.Time
 }
 
-// New returns an executor without an upstream.
+// New returns an executor whose upstream is gone until Announced is called.
 func New(config Config) *Executor {
 	return &Executor{
 		Config:       config,
@@ -153,11 +163,11 @@
 		limit:        limiter.New(1),
 		proven:       quarantiner.NewProven(),
 		schedule:     scheduler.New(0, scheduler.Config{}),
-		spent:        make(map[string]time.Time),
+		retrySpent:   make(map[string]time.Time),
 	}
 }
 
-// Configure puts a document in force.
+// Configure applies the ranks and the neighbours' weights of a configuration document.
 func (e *Executor) Configure(document *validator.Document) {
 	e.document.Store(document)
 	config := scheduler.Config{Weights: make(map[string]float64)}
@@ -175,7 +185,9 @@
 	e.schedule.Configure(config)
 }
 
-// Announced takes the newest announcement of the upstream.
+// Announced applies the newest announcement of the upstream. A new service refuses all queued requests and
+// resets the limit and the repeat budget; a new instance resets the load report. An instance that is new or
+// becomes ready restarts the limiter. Announcements are ignored after Drain.
 func (e *Executor) Announced(a announcer.Announcement) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -199,7 +211,8 @@
 	e.applyLimit()
 }
 
-// applyLimit gives the scheduler as many slots as the upstream may use now.
+// applyLimit sets the scheduler's slots to the current limit. An upstream that is not ready gets no slots,
+// and the queued requests are refused. It is called with mu held.
 func (e *Executor) applyLimit() {
 	if e.announcement.State == announcer.StateReady {
 		e.schedule.SetSlots(e.Clock.Now(), e.limit.Limit())
@@ -209,7 +222,7 @@
 	e.schedule.Flush(refuser.New(refuser.ReasonDraining, "the server is leaving"))
 }
 
-// Drain stops the admission of new attempts and refuses those that wait. Running ones finish.
+// Drain stops admitting attempts and refuses the queued ones. Running attempts finish.
 func (e *Executor) Drain() {
 	e.draining.Store(true)
 	e.mu.Lock()
@@ -218,30 +231,32 @@
 	e.applyLimit()
 }
 
-// Running returns the number of requests that run at the upstream.
+// Running returns the number of requests that are running at the upstream.
 func (e *Executor) Running() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.inFlight)
 }
 
-// Sweep refuses queued requests whose deadline has passed. Its owner calls it every SweepInterval.
+// Sweep refuses queued requests whose deadline has passed or whose answer would come too late, and drops
+// expired records of failed nested calls. The owner calls it every SweepInterval.
 func (e *Executor) Sweep() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.Clock.Now()
 	e.schedule.Sweep(now)
-	for chain, expires := range e.spent {
+	for call, expires := range e.retrySpent {
 		if now.After(expires) {
-			delete(e.spent, chain)
+			delete(e.retrySpent, call)
 		}
 	}
 }
 
-// SweepInterval is how often Sweep is called.
+// SweepInterval is the interval at which the owner calls Sweep.
 const SweepInterval = sweepInterval
 
-// Status is a snapshot of the executor.
+// Status is a snapshot of the executor for the administration interface: the upstream's announcement, its
+// smoothed failure rate from 0 to 1, the number of requests that it gets at once, and its load.
 type Status struct {
 	Announcement announcer.Announcement `json:"upstream"`
 	FailureRate  float64                `json:"failure-rate"`
@@ -249,7 +264,7 @@
 	Load         carrier.Load           `json:"load"`
 }
 
-// Status returns a snapshot.
+// Status returns a snapshot of the executor.
 func (e *Executor) Status() Status {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -258,14 +273,15 @@
 	}
 }
 
-// AccountStatus is the slot-time that one rank and neighbour have taken at the upstream.
+// AccountStatus is the slot-time that the requests of one rank and neighbour have used at the upstream.
 type AccountStatus struct {
 	Neighbour string        `json:"neighbour"`
 	Rank      string        `json:"rank"`
 	Taken     time.Duration `json:"taken"`
 }
 
-// Accounts returns the slot-time taken by rank and neighbour.
+// Accounts returns the slot-time used by each rank and neighbour. The rank's name is empty where the
+// document does not have the rank.
 func (e *Executor) Accounts() []AccountStatus {
 	document := e.document.Load()
 	e.mu.Lock()
@@ -292,37 +308,38 @@
 	}
 }
 
-// Execute runs the attempt here, or on a sibling, or refuses it. The answer is left in the
-// execution's response.
+// Execute runs the attempt here or at a sibling, or refuses it. It stores the answer in the execution's
+// response.
 func (e *Executor) Execute(ctx context.Context, x *Execution) carrier.Outcome {
 	started := e.Clock.Now()
-	x.began = started.Add(-x.Attempt.Age)
-	if refusal := e.preclude(x); refusal != nil {
-		outcome := e.refused(refusal)
-		e.tellAttempted(x, &outcome, started)
+	x.requestArrived = started.Add(-x.Attempt.Age)
+	if refusal := e.precheck(x); refusal != nil {
+		outcome := e.refusedOutcome(refusal)
+		e.notifyAttempted(x, &outcome, started)
 		return outcome
 	}
 	id := x.Attempt.ID()
 	if err := e.Recorder.Begin(id); err != nil {
 		e.Meter.Event("late_attempts")
-		return e.refused(refuser.Unknown(refuser.ReasonOutcomeUnknown, err.Error()))
+		return e.refusedOutcome(refuser.Unknown(refuser.ReasonOutcomeUnknown, err.Error()))
 	}
-	e.notePeer(x)
+	e.recordPeer(x)
 	outcome := e.admit(ctx, x)
 	e.mu.Lock()
 	outcome.Load = e.currentLoad()
-	if _, ok := e.spent[x.Attempt.Call]; ok {
+	if _, ok := e.retrySpent[x.Attempt.Call]; ok {
 		outcome.Spent = true
 	}
 	e.mu.Unlock()
-	e.record(id, x, outcome)
-	e.tellAttempted(x, &outcome, started)
+	e.recordOutcome(id, x, outcome)
+	e.notifyAttempted(x, &outcome, started)
 	return outcome
 }
 
-// Seen is what the executor knew when an attempt ended.
+// Seen is the state of the upstream, as known to the executor, when an attempt ended.
 type Seen struct {
 	Instance string
+	// LoadAge is the age of the upstream's last load report.
 	LoadAge  time.Duration
 	Queued   int
 	Running  int
@@ -331,22 +348,23 @@
 	Took time.Duration
 }
 
-func (e *Executor) tellAttempted(x *Execution, outcome *carrier.Outcome, started time.Time) {
+func (e *Executor) notifyAttempted(x *Execution, outcome *carrier.Outcome, started time.Time) {
 	if e.Attempted == nil {
 		return
 	}
 	now := e.Clock.Now()
 	e.mu.Lock()
 	seen := Seen{
-		Instance: e.announcement.Instance, LoadAge: now.Sub(e.load.at), Queued: e.schedule.Queued(),
+		Instance: e.announcement.Instance, LoadAge: now.Sub(e.load.receivedAt), Queued: e.schedule.Queued(),
 		Running: e.schedule.Running(), Slowdown: e.load.slowdown, Took: now.Sub(started),
 	}
 	e.mu.Unlock()
 	e.Attempted(x, outcome, seen)
 }
 
-// record keeps the outcome of a non-idempotent attempt for a sender that lost its connection.
-func (e *Executor) record(id recorder.ID, x *Execution, outcome carrier.Outcome) {
+// recordOutcome stores the outcome of a non-idempotent attempt for a sender that lost its connection. It drops
+// the record of an idempotent one.
+func (e *Executor) recordOutcome(id recorder.ID, x *Execution, outcome carrier.Outcome) {
 	if x.Attempt.Idempotent {
 		e.Recorder.Forget(id)
 		return
@@ -358,18 +376,18 @@
 	e.Recorder.Finish(id, carrier.Pack(sealed))
 }
 
-func (e *Executor) refused(refusal *refuser.Refusal) carrier.Outcome {
+func (e *Executor) refusedOutcome(refusal *refuser.Refusal) carrier.Outcome {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return carrier.Outcome{Load: e.currentLoad(), Refusal: refusal}
 }
 
-// preclude returns why the attempt can't even be queued here, or nil.
-func (e *Executor) preclude(x *Execution) *refuser.Refusal {
-	if refusal := e.quarantine(x); refusal != nil {
+// precheck returns a refusal if the attempt can be neither run nor queued here, or nil.
+func (e *Executor) precheck(x *Execution) *refuser.Refusal {
+	if refusal := e.checkQuarantine(x); refusal != nil {
 		return refusal
 	}
-	if refusal := e.overRepeats(x); refusal != nil {
+	if refusal := e.checkRepeatBudget(x); refusal != nil {
 		return refusal
 	}
 	e.mu.Lock()
@@ -387,16 +405,16 @@
 	return nil
 }
 
-// quarantine refuses requests that have crashed upstreams.
-func (e *Executor) quarantine(x *Execution) *refuser.Refusal {
+// checkQuarantine returns a refusal for a request that has crashed upstreams, or nil.
+func (e *Executor) checkQuarantine(x *Execution) *refuser.Refusal {
 	if e.Quarantiner.IsEmpty() {
 		return nil
 	}
-	left := e.Quarantiner.Barred(e.fingerprint(x))
-	if left <= 0 {
+	remaining := e.Quarantiner.Barred(e.fingerprint(x))
+	if remaining <= 0 {
 		return nil
 	}
-	return refuser.Later(refuser.ReasonPoison, left, "requests like this one have crashed upstreams")
+	return refuser.Later(refuser.ReasonPoison, remaining, "requests like this one have crashed upstreams")
 }
 
 func (e *Executor) fingerprint(x *Execution) quarantiner.Fingerprint {
@@ -412,7 +430,8 @@
 	return class
 }
 
-// admit finds a slot for the attempt.
+// admit runs the attempt in a free slot, hands it off to a sibling, or queues it. An optional attempt is
+// refused instead if it can't start promptly.
 func (e *Executor) admit(ctx context.Context, x *Execution) carrier.Outcome {
 	if x.Attempt.Grant != 0 {
 		return e.runGranted(ctx, x)
@@ -421,28 +440,29 @@
 	w := scheduler.NewWaiter(now, e.class(x), x.Deadline)
 	w.Useful = x.usefulUntil(now)
 	e.mu.Lock()
-	if x.Attempt.Optional && !e.isPrompt(x.Attempt.Relaxed) {
+	if x.Attempt.Optional && !e.canStartPromptly(x.Attempt.Relaxed) {
 		e.mu.Unlock()
 		e.Meter.Event("handed_back")
 		return carrier.Outcome{Refusal: refuser.Later(refuser.ReasonBusy, sweepInterval, "the upstream is full or slow and the sender has another")}
 	}
-	free := e.schedule.TryRun(w)
-	overloaded := !free && e.schedule.ExpectedWait(w.Class) > x.Deadline.Sub(now)
-	e.tell()
+	hasSlot := e.schedule.TryRun(w)
+	overloaded := !hasSlot && e.schedule.ExpectedWait(w.Class) > x.Deadline.Sub(now)
+	e.notifyPeers()
 	e.mu.Unlock()
-	if free {
+	if hasSlot {
 		return e.run(ctx, x, w)
 	}
 	if !x.Attempt.HandedOn && !overloaded {
-		if outcome, ok := e.handOn(ctx, x); ok {
+		if outcome, ok := e.handOff(ctx, x); ok {
 			return outcome
 		}
 	}
-	return e.wait(ctx, x, now)
+	return e.runQueued(ctx, x, now)
 }
 
-// handOn sends the attempt to a random sibling. It reports false when the sibling has not run it.
-func (e *Executor) handOn(ctx context.Context, x *Execution) (carrier.Outcome, bool) {
+// handOff sends the attempt to another node that Siblings selects. It reports false when there is none, or
+// when it has certainly not run the attempt and this node should queue it.
+func (e *Executor) handOff(ctx context.Context, x *Execution) (carrier.Outcome, bool) {
 	sibling, ok := e.Siblings.HandOn(x.Attempt.Service, []string{e.Name})
 	if !ok {
 		return carrier.Outcome{}, false
@@ -454,7 +474,8 @@
 	if !outcome.IsNotRun() || outcome.Reached() {
 		return outcome, true
 	}
-	// A sibling that is full has judged the wait; one that can't be reached or leaves has not.
+	// A full sibling has evaluated the expected wait, so that its refusal is final. A sibling that can't be
+	// reached or is draining has not.
 	switch outcome.Refusal.Reason {
 	case refuser.ReasonQueueFull, refuser.ReasonDeadline, refuser.ReasonPoison:
 		return outcome, true
--- a/internal/executor/faults_test.go
+++ b/internal/executor/faults_test.go
@@ -7,71 +7,73 @@
 	"time"
 )
 
-var weighted = policy{name: "late binding, weighted", binding: true, learns: true}
+var weightedLateBinding = policy{name: "late binding, weighted", lateBinding: true, viaEntryNodes: true}
 
-// TestFailFastAttractsNoWork lets one upstream answer errors in 0.1 ms. It must get less work than
-// its part, not more.
-func TestFailFastAttractsNoWork(t *testing.T) {
+// TestFastFailingUpstreamGetsLessWork has one upstream answer with errors after 0.1 ms. It frees its slots
+// quickly, but must get less than its equal share of the requests, not more.
+func TestFastFailingUpstreamGetsLessWork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGroup(t, 8, true, 1, 1e9, testDocument(time.Minute))
 		g.members[7].failFast.Store(true)
 		const perSecond, length = 6000.0, 5 * time.Second
-		drive(g, weighted, perSecond, length, 1)
+		runLoad(g, weightedLateBinding, perSecond, length, 1)
 		fair := perSecond * length.Seconds() / 8
-		got := float64(g.members[7].failed.Load())
-		t.Logf("the failing upstream got %.0f requests, its part would be %.0f", got, fair)
+		got := float64(g.members[7].failedRequests.Load())
+		t.Logf("the failing upstream got %.0f requests, its equal share is %.0f", got, fair)
 		if got > fair/4 {
-			t.Errorf("the failing upstream got %.0f requests, want at most a quarter of its part", got)
+			t.Errorf("the failing upstream got %.0f requests, want at most a quarter of its equal share", got)
 		}
 	})
 }
 
-// TestSuddenSlowness makes one upstream 10 times slower at once, and well again later.
-func TestSuddenSlowness(t *testing.T) {
+// TestSuddenSlowdown makes one of 8 upstreams 10 times slower at once and restores it after 2 s. The median
+// latency of all calls must stay low.
+func TestSuddenSlowdown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGroup(t, 8, true, 1, 1e9, testDocument(time.Minute))
 		slow := g.members[7]
 		go func() {
 			time.Sleep(2 * time.Second)
-			slow.factor.Store(10)
+			slow.slowdown.Store(10)
 			began := time.Now()
 			for slow.Status().Limit > testSlots/2 && time.Since(began) < time.Second {
 				time.Sleep(time.Millisecond)
 			}
-			t.Logf("the limit fits after %s", time.Since(began))
+			t.Logf("the limit has dropped after %s", time.Since(began))
 			time.Sleep(2*time.Second - time.Since(began))
-			slow.factor.Store(1)
+			slow.slowdown.Store(1)
 			began = time.Now()
 			for slow.Status().Limit < testSlots && time.Since(began) < 5*time.Second {
 				time.Sleep(time.Millisecond)
 			}
-			t.Logf("the limit is back after %s", time.Since(began))
+			t.Logf("the limit is restored after %s", time.Since(began))
 		}()
 		const perSecond = 0.75 * 8 * testSlots / 0.010
-		q := drive(g, weighted, perSecond, 8*time.Second, 1)
+		q := runLoad(g, weightedLateBinding, perSecond, 8*time.Second, 1)
 		t.Logf("p50 %s p99 %s p99.9 %s", q.p50, q.p99, q.p999)
 		if q.p50 > 20*time.Millisecond {
-			t.Errorf("the median is %s although 7 of 8 upstreams are well", q.p50)
+			t.Errorf("the median is %s although 7 of 8 upstreams run at their usual speed", q.p50)
 		}
 	})
 }
 
-// TestMessagesOfBindingAreLost loses messages of late binding. No request may run twice or be left
-// without its outcome.
-func TestMessagesOfBindingAreLost(t *testing.T) {
+// TestLostBindingMessages drops 30% of one kind of late-binding messages. No request may run twice
+// or remain without an outcome, and no slot or queue entry may be left over.
+func TestLostBindingMessages(t *testing.T) {
 	for _, message := range []string{"reserve", "pull", "pull-reply", "send"} {
 		t.Run(message, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := newGroup(t, 4, true, 1, 1e9, testDocument(time.Minute))
-				lossy := g.random
-				g.lose = func(kind string) bool {
+				lossRandom := g.random
+				g.isLost = func(kind string) bool {
 					g.mu.Lock()
 					defer g.mu.Unlock()
-					return kind == message && lossy.Float64() < 0.3
+					return kind == message && lossRandom.Float64() < 0.3
 				}
-				q := drive(g, weighted, 0.95*4*testSlots/0.010, 2*time.Second, 1)
-				t.Logf("p99 %s, refused %d of %d, %.0f bindings undone", q.p99, q.refused, len(g.ran), g.sum("bindings_undone"))
-				for id, count := range g.ran {
+				q := runLoad(g, weightedLateBinding, 0.95*4*testSlots/0.010, 2*time.Second, 1)
+				t.Logf("p99 %s, refused %d of %d, %.0f bindings undone",
+					q.p99, q.refused, len(g.runs), g.eventSum("bindings_undone"))
+				for id, count := range g.runs {
 					if count > 1 {
 						t.Errorf("%s ran %d times", id, count)
 					}
@@ -86,8 +88,9 @@
 	}
 }
 
-// TestNodesDieWhileRequestsWait takes a node away while others hold reservations and grants of it.
-func TestNodesDieWhileRequestsWait(t *testing.T) {
+// TestNodeFailsWhileRequestsWait makes a node unreachable repeatedly while others hold its reservations and
+// grants. No request may run twice.
+func TestNodeFailsWhileRequestsWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGroup(t, 4, true, 1, 1e9, testDocument(time.Minute))
 		go func() {
@@ -98,9 +101,9 @@
 				g.members[3].down.Store(false)
 			}
 		}()
-		q := drive(g, weighted, 0.95*4*testSlots/0.010, 2*time.Second, 1)
-		t.Logf("p99 %s, refused %d of %d", q.p99, q.refused, len(g.ran))
-		for id, count := range g.ran {
+		q := runLoad(g, weightedLateBinding, 0.95*4*testSlots/0.010, 2*time.Second, 1)
+		t.Logf("p99 %s, refused %d of %d", q.p99, q.refused, len(g.runs))
+		for id, count := range g.runs {
 			if count > 1 {
 				t.Errorf("%s ran %d times", id, count)
 			}
@@ -108,35 +111,36 @@
 	})
 }
 
-// TestFloodOverAGroup floods four upstreams with 3 times their capacity of the least urgent rank,
-// with late binding between them. The most urgent rank must hardly notice.
+// TestFloodOverAGroup floods four upstreams that use late binding with 3 times their capacity of the least
+// urgent rank. The p99 of the most urgent rank must rise by at most 20%.
 func TestFloodOverAGroup(t *testing.T) {
 	const capacity, length = 4 * testSlots / 0.010, 3 * time.Second
-	var quiet, flooded, flood quantiles
+	var withoutFlood, withFlood, floodLatency quantiles
 	synctest.Test(t, func(t *testing.T) {
 		g := newGroup(t, 4, true, 1, 1e9, testDocument(200*time.Millisecond))
-		quiet = drive(g, weighted, capacity/4, length, 1)
+		withoutFlood = runLoad(g, weightedLateBinding, capacity/4, length, 1)
 	})
 	synctest.Test(t, func(t *testing.T) {
 		g := newGroup(t, 4, true, 1, 1e9, testDocument(200*time.Millisecond))
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			flood = driveRank(g, weighted, "bulk", "bulk", 3*capacity, length, 2)
+			floodLatency = runRankLoad(g, weightedLateBinding, "bulk", "bulk", 3*capacity, length, 2)
 		}()
-		flooded = drive(g, weighted, capacity/4, length, 1)
+		withFlood = runLoad(g, weightedLateBinding, capacity/4, length, 1)
 		<-done
 	})
-	t.Logf("urgent p99 quiet %s, in the flood %s, refused %d; bulk p99 %s, refused %d", quiet.p99, flooded.p99, flooded.refused, flood.p99, flood.refused)
-	if ratio(flooded.p99, quiet.p99) > 1.2 {
-		t.Errorf("p99 of the most urgent rank is %s in the flood, want at most 1.2 times %s", flooded.p99, quiet.p99)
+	t.Logf("urgent p99 without flood %s, with flood %s, refused %d; bulk p99 %s, refused %d",
+		withoutFlood.p99, withFlood.p99, withFlood.refused, floodLatency.p99, floodLatency.refused)
+	if ratio(withFlood.p99, withoutFlood.p99) > 1.2 {
+		t.Errorf("p99 of the most urgent rank is %s with the flood, want at most 1.2 times %s", withFlood.p99, withoutFlood.p99)
 	}
 }
 
-// TestUrgentFloodOverAGroup floods four upstreams with 3 times their capacity of the most urgent
-// rank. The others must keep 95% of their guaranteed shares.
+// TestUrgentFloodOverAGroup floods four upstreams with 3 times their capacity of the most urgent rank. All
+// ranks must get at least 95% of their guaranteed shares.
 func TestUrgentFloodOverAGroup(t *testing.T) {
-	// Counts of requests with exponential service times have a sampling error of 2% after 5 s.
+	// With exponential service times, the sampling error of the request counts is 2% after 5 s.
 	const capacity, length = 4 * testSlots / 0.010, 24 * time.Second
 	synctest.Test(t, func(t *testing.T) {
 		g := newGroup(t, 4, true, 1, 1e9, testDocument(200*time.Millisecond))
@@ -146,7 +150,7 @@
 		var floods sync.WaitGroup
 		for rank, perSecond := range loads {
 			floods.Go(func() {
-				got := driveRank(g, weighted, rank, rank, perSecond, length, uint64(len(rank)))
+				got := runRankLoad(g, weightedLateBinding, rank, rank, perSecond, length, uint64(len(rank)))
 				mu.Lock()
 				defer mu.Unlock()
 				results[rank] = got
@@ -154,10 +158,10 @@
 		}
 		floods.Wait()
 		for _, rank := range testDocument(time.Second).Ranks {
-			part := float64(results[rank.Name].answered) / (capacity * (length - length/6).Seconds())
-			t.Logf("%s got %.3f of the capacity, guaranteed %.2f", rank.Name, part, rank.GuaranteedShare)
-			if part < 0.95*rank.GuaranteedShare {
-				t.Errorf("%s got %.3f of the capacity, want 95%% of %.2f", rank.Name, part, rank.GuaranteedShare)
+			fraction := float64(results[rank.Name].answered) / (capacity * (length - length/6).Seconds())
+			t.Logf("%s got %.3f of the capacity, guaranteed %.2f", rank.Name, fraction, rank.GuaranteedShare)
+			if fraction < 0.95*rank.GuaranteedShare {
+				t.Errorf("%s got %.3f of the capacity, want 95%% of %.2f", rank.Name, fraction, rank.GuaranteedShare)
 			}
 		}
 	})
--- a/internal/executor/harness_test.go
+++ b/internal/executor/harness_test.go
@@ -29,51 +29,52 @@
 const (
 	testService = "entries"
 	testSlots   = 12
-	// entries is how many entry nodes share what there is to learn.
-	entries = 40
+	// entryCount is the number of entry nodes among which the observed outcomes are divided.
+	entryCount = 40
 )
 
-// group is the executors of one service, joined by fakes that take time but no network.
+// group holds the executors of one service. They are connected by in-process fakes that add a network delay.
 type group struct {
-	delay   time.Duration
-	entries []*router.Router
-	demand  func(id string) time.Duration
-	members []*member
-	ran     map[string]int
-	mu      sync.Mutex
-	random  *rand.Rand
-	// binding is false for baselines that queue where a request arrives.
-	binding bool
-	// lose reports whether a message between nodes is lost.
-	lose func(message string) bool
+	networkDelay time.Duration
+	entries      []*router.Router
+	demand       func(id string) time.Duration
+	members      []*member
+	runs         map[string]int
+	mu           sync.Mutex
+	random       *rand.Rand
+	// lateBinding is false for policies that queue each request where it arrives.
+	lateBinding bool
+	// isLost reports whether a message of the given kind between nodes is dropped.
+	isLost func(message string) bool
 }
 
+// member is an executor with its fake peers and upstream.
 type member struct {
 	*Executor
-	down     atomic.Bool
-	factor   atomic.Int64
-	failFast atomic.Bool
-	failed   atomic.Int64
-	group    *group
-	name     string
-	// router is what the node knows as an entry for others.
+	down           atomic.Bool
+	slowdown       atomic.Int64
+	failFast       atomic.Bool
+	failedRequests atomic.Int64
+	group          *group
+	name           string
+	// router is the node's own router, which selects siblings.
 	router   *router.Router
 	sequence uint64
 }
 
-func newGroup(t testing.TB, count int, binding bool, seed uint64, rate float64, document *validator.Document) *group {
+func newGroup(t testing.TB, count int, lateBinding bool, seed uint64, rate float64, document *validator.Document) *group {
 	t.Helper()
 	g := &group{
-		delay:   100 * time.Microsecond,
-		random:  rand.New(rand.NewPCG(seed, seed)),
-		ran:     make(map[string]int),
-		binding: binding,
-		lose:    func(string) bool { return false },
+		networkDelay: 100 * time.Microsecond,
+		random:       rand.New(rand.NewPCG(seed, seed)),
+		runs:         make(map[string]int),
+		lateBinding:  lateBinding,
+		isLost:       func(string) bool { return false },
 	}
-	g.demand = func(id string) time.Duration { return exponential(seed, id, 10*time.Millisecond) }
+	g.demand = func(id string) time.Duration { return exponentialDemand(seed, id, 10*time.Millisecond) }
 	for i := range count {
 		m := &member{group: g, name: "n" + strconv.Itoa(i)}
-		m.factor.Store(1)
+		m.slowdown.Store(1)
 		clock := timekeeper.System{}
 		m.Executor = New(Config{
 			Bytes:       budgeter.NewBytes(clock, rate),
@@ -96,28 +97,28 @@
 		})
 		g.members = append(g.members, m)
 	}
-	g.enter(router.Weighted{}, seed)
+	g.resetEntries(router.Weighted{}, seed)
 	for i, m := range g.members {
 		m.router = g.entries[i]
 	}
 	return g
 }
 
-// enter replaces the entry nodes by new ones that pick by the policy.
-func (g *group) enter(policy router.Policy, seed uint64) {
+// resetEntries replaces the entry nodes with new ones that use the policy.
+func (g *group) resetEntries(policy router.Policy, seed uint64) {
 	g.entries = nil
-	for i := range entries {
+	for i := range entryCount {
 		r := router.New(timekeeper.System{}, rand.New(rand.NewPCG(seed, uint64(i))), policy, "", "")
 		for _, m := range g.members {
-			r.Update(record(m.name))
+			r.Update(memberRecord(m.name))
 		}
 		g.entries = append(g.entries, r)
 	}
 }
 
-// exponential returns the same draw for the same id, so that runs of different policies see the
-// same demands.
-func exponential(seed uint64, id string, mean time.Duration) time.Duration {
+// exponentialDemand returns an exponentially distributed service time. It is the same for the same seed and
+// id, so that runs of different policies get the same service times.
+func exponentialDemand(seed uint64, id string, mean time.Duration) time.Duration {
 	var mixed [32]byte
 	binary.LittleEndian.PutUint64(mixed[:], seed)
 	copy(mixed[8:], id)
@@ -125,13 +126,13 @@
 	return time.Duration(source.ExpFloat64() * float64(mean))
 }
 
-func (g *group) pick() int {
+func (g *group) randomIndex() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.random.IntN(len(g.members))
 }
 
-func (g *group) byName(name string) *member {
+func (g *group) memberByName(name string) *member {
 	for _, m := range g.members {
 		if m.name == name {
 			return m
@@ -140,8 +141,8 @@
 	return nil
 }
 
-// execution returns the next idempotent attempt for the member.
-func (m *member) execution(id string, deadline time.Time) *Execution {
+// newExecution returns an idempotent attempt with the next sequence number of the member.
+func (m *member) newExecution(id string, deadline time.Time) *Execution {
 	req := &fasthttp.Request{}
 	req.SetRequestURI("/" + id)
 	req.Header.SetMethod(fasthttp.MethodPost)
@@ -154,7 +155,7 @@
 
 // call runs one request at the member and returns its outcome.
 func (m *member) call(id, rank, neighbour string, deadline time.Time) carrier.Outcome {
-	x := m.execution(id, deadline)
+	x := m.newExecution(id, deadline)
 	x.Attempt.Rank, x.Attempt.Neighbour = rank, neighbour
 	outcome := m.Execute(context.Background(), x)
 	if outcome.Refusal == nil && x.Response.StatusCode() == fasthttp.StatusServiceUnavailable {
@@ -165,30 +166,30 @@
 
 // Send implements Sender.
 func (m *member) Send(ctx context.Context, to gossiper.Member, a carrier.Attempt, req *fasthttp.Request, resp *fasthttp.Response, deadline time.Time) carrier.Outcome {
-	target := m.group.byName(to.Name)
+	target := m.group.memberByName(to.Name)
 	m.group.mu.Lock()
 	m.sequence++
 	a.Sender, a.Sequence = m.name, m.sequence
 	m.group.mu.Unlock()
-	time.Sleep(m.group.delay)
-	if target.down.Load() || m.group.lose("send") {
-		return carrier.Outcome{Refusal: notSent()}
+	time.Sleep(m.group.networkDelay)
+	if target.down.Load() || m.group.isLost("send") {
+		return carrier.Outcome{Refusal: notSentRefusal()}
 	}
 	outcome := target.Execute(ctx, &Execution{Attempt: a, Deadline: deadline, Request: req, Response: resp})
-	time.Sleep(m.group.delay)
+	time.Sleep(m.group.networkDelay)
 	return outcome
 }
 
 // Pull implements Links.
 func (m *member) Pull(_ context.Context, home gossiper.Member, request PullRequest) (PullReply, error) {
-	time.Sleep(m.group.delay)
-	target := m.group.byName(home.Name)
-	if target.down.Load() || m.group.lose("pull") {
+	time.Sleep(m.group.networkDelay)
+	target := m.group.memberByName(home.Name)
+	if target.down.Load() || m.group.isLost("pull") {
 		return PullReply{}, forwarder.ErrLost
 	}
 	reply := target.Executor.Pull(request)
-	time.Sleep(m.group.delay)
-	if m.group.lose("pull-reply") {
+	time.Sleep(m.group.networkDelay)
+	if m.group.isLost("pull-reply") {
 		return PullReply{}, forwarder.ErrLost
 	}
 	return reply, nil
@@ -196,9 +197,9 @@
 
 // Reserve implements Links.
 func (m *member) Reserve(_ context.Context, to gossiper.Member, request ReserveRequest) error {
-	m.Bytes.Book(reservationCost)
-	time.Sleep(m.group.delay)
-	if target := m.group.byName(to.Name); !target.down.Load() && !m.group.lose("reserve") {
+	m.Bytes.Book(reservationBytes)
+	time.Sleep(m.group.networkDelay)
+	if target := m.group.memberByName(to.Name); !target.down.Load() && !m.group.isLost("reserve") {
 		target.Executor.Reserve(request)
 	}
 	return nil
@@ -225,16 +226,16 @@
 
 // Member implements Siblings.
 func (m *member) Member(name string) (gossiper.Member, bool) {
-	return record(name), m.group.byName(name) != nil
+	return memberRecord(name), m.group.memberByName(name) != nil
 }
 
-func record(name string) gossiper.Member {
+func memberRecord(name string) gossiper.Member {
 	return gossiper.Member{Name: name, Service: testService, Slots: testSlots, Upstream: announcer.StateReady}
 }
 
 // HandOn implements Siblings.
 func (m *member) HandOn(service string, exclude []string) (gossiper.Member, bool) {
-	if !m.group.binding {
+	if !m.group.lateBinding {
 		return gossiper.Member{}, false
 	}
 	return m.router.HandOn(service, exclude)
@@ -242,7 +243,7 @@
 
 // Reservation implements Siblings.
 func (m *member) Reservation(service string, exclude []string) (gossiper.Member, bool) {
-	if !m.group.binding {
+	if !m.group.lateBinding {
 		return gossiper.Member{}, false
 	}
 	return m.router.Reservation(service, exclude)
@@ -254,21 +255,21 @@
 		return forwarder.ErrNotSent
 	}
 	if m.failFast.Load() {
-		m.failed.Add(1)
+		m.failedRequests.Add(1)
 		time.Sleep(100 * time.Microsecond)
 		resp.SetStatusCode(fasthttp.StatusServiceUnavailable)
 		return nil
 	}
 	id := string(req.URI().Path()[1:])
 	m.group.mu.Lock()
-	m.group.ran[id]++
+	m.group.runs[id]++
 	m.group.mu.Unlock()
-	taken := time.Duration(float64(m.group.demand(id)) * float64(m.factor.Load()))
-	if left := time.Until(deadline); taken > left {
-		time.Sleep(left)
+	needed := time.Duration(float64(m.group.demand(id)) * float64(m.slowdown.Load()))
+	if remaining := time.Until(deadline); needed > remaining {
+		time.Sleep(remaining)
 		return forwarder.ErrTimeout
 	}
-	time.Sleep(taken)
+	time.Sleep(needed)
 	resp.SetStatusCode(fasthttp.StatusOK)
 	return nil
 }
@@ -278,14 +279,14 @@
 	return m.down.Load()
 }
 
-func (m *member) events(name string) uint64 {
+func (m *member) eventCount(name string) uint64 {
 	return m.Meter.EventCount(name)
 }
 
-func (g *group) sum(name string) float64 {
+func (g *group) eventSum(name string) float64 {
 	total := uint64(0)
 	for _, m := range g.members {
-		total += m.events(name)
+		total += m.eventCount(name)
 	}
 	return float64(total)
 }
--- a/internal/executor/load.go
+++ b/internal/executor/load.go
@@ -8,36 +8,38 @@
 )
 
 const (
-	// loadTime is how long a report of the upstream's load is of use.
-	loadTime = 150 * time.Millisecond
-	// steadySlowdown is where an upstream begins to count as slower than usual.
-	steadySlowdown = 1.2
-	// slowPause is how much longer a request at an upstream that has turned slow takes on average.
-	slowPause = 200 * time.Millisecond
+	// loadReportTTL is how long a load report of the upstream counts as current.
+	loadReportTTL = 150 * time.Millisecond
+	// maxSteadySlowdown is the slowdown from which an upstream counts as slower than usual.
+	maxSteadySlowdown = 1.2
+	// slowStall is the mean extra time that a request takes at an upstream that has become slow.
+	slowStall = 200 * time.Millisecond
 )
 
-// loadReport is the upstream's newest word on its load.
+// loadReport is the upstream's newest load report.
 type loadReport struct {
-	at       time.Time
-	slowdown float64
+	receivedAt time.Time
+	slowdown   float64
 }
 
-// Report takes the upstream's own view of its load.
+// Report records a load report of the upstream. If the upstream is slow, the scheduler adds slowStall to the
+// expected waits at admission.
 func (e *Executor) Report(load interpreter.Load) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.load = loadReport{at: e.Clock.Now(), slowdown: load.Slowdown}
+	e.load = loadReport{receivedAt: e.Clock.Now(), slowdown: load.Slowdown}
 	e.limit.Reported()
-	pause := time.Duration(0)
+	stall := time.Duration(0)
 	if e.isSlow() {
-		pause = slowPause
+		stall = slowStall
 	}
-	e.schedule.SetPause(pause)
+	e.schedule.SetPause(stall)
 	e.applyLimit()
-	e.tell()
+	e.notifyPeers()
 }
 
-// SiblingSeen takes what the node of another upstream of the service has learned of it.
+// SiblingSeen adopts the best number of slots that the node of another upstream of the same service has
+// learned. Loads without one and loads of other services are ignored.
 func (e *Executor) SiblingSeen(service string, load carrier.Load) {
 	if load.Best == 0 {
 		return
@@ -51,29 +53,31 @@
 	e.applyLimit()
 }
 
-// LoadAge returns how old the newest report is, whether anything runs at the upstream, and whether it
-// has ever told its load.
-func (e *Executor) LoadAge() (age time.Duration, running, tells bool) {
+// LoadAge returns the age of the newest load report, whether any request is running at the upstream, and
+// whether this instance of it has reported its load at all.
+func (e *Executor) LoadAge() (age time.Duration, running, reports bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.Clock.Now().Sub(e.load.at), len(e.inFlight) > 0, !e.load.at.IsZero()
+	return e.Clock.Now().Sub(e.load.receivedAt), len(e.inFlight) > 0, !e.load.receivedAt.IsZero()
 }
 
-// isPrompt reports whether a request could begin at once and, unless it is relaxed, run as fast as
-// usual. It is called with mu held.
-func (e *Executor) isPrompt(relaxed bool) bool {
+// canStartPromptly reports whether a request could start at once and, unless it is relaxed, at an upstream
+// that is not slow. It is called with mu held.
+func (e *Executor) canStartPromptly(relaxed bool) bool {
 	if e.schedule.Queued() > 0 || e.schedule.Running() >= e.schedule.Slots() {
 		return false
 	}
 	return relaxed || !e.isSlow()
 }
 
+// isSlow reports whether a current load report says that the upstream is slow. It is called with mu held.
 func (e *Executor) isSlow() bool {
-	return carrier.Load{Slowdown: e.load.slowdown}.IsSlow() && e.Clock.Now().Sub(e.load.at) < loadTime
+	return carrier.Load{Slowdown: e.load.slowdown}.IsSlow() && e.Clock.Now().Sub(e.load.receivedAt) < loadReportTTL
 }
 
-// isSteady reports whether the upstream has told of late that its VM runs at its usual speed. It is called
-// with mu held.
+// isSteady reports whether a current load report says that the upstream's VM runs at its usual speed. It is
+// called with mu held.
 func (e *Executor) isSteady() bool {
-	return e.load.slowdown > 0 && e.load.slowdown < steadySlowdown && e.Clock.Now().Sub(e.load.at) < loadTime
+	return e.load.slowdown > 0 && e.load.slowdown < maxSteadySlowdown &&
+		e.Clock.Now().Sub(e.load.receivedAt) < loadReportTTL
 }
--- a/internal/executor/notices.go
+++ b/internal/executor/notices.go
@@ -7,32 +7,32 @@
 )
 
 const (
-	// maxPeers bounds the entry nodes that are told of the load, so that the cost does not grow with the
-	// fleet.
-	maxPeers = 12
-	// noticeInterval is the least time between two notices.
-	noticeInterval = 10 * time.Millisecond
-	// peerTime is for how long a node that has sent attempts is told of the load.
-	peerTime = 3 * time.Second
+	// maxNotifiedPeers limits how many entry nodes get a load notice, so that the cost does not grow with
+	// the fleet.
+	maxNotifiedPeers = 12
+	// minNoticeInterval is the minimum time between two load notices.
+	minNoticeInterval = 10 * time.Millisecond
+	// peerTTL is how long after its last attempt an entry node still gets load notices.
+	peerTTL = 3 * time.Second
 )
 
-// condition is what an entry node must know to pick a target.
-type condition struct {
+// loadCondition is the state of the upstream that entry nodes need for picking a target.
+type loadCondition struct {
 	full bool
 	slow bool
 }
 
-// notices tells the nodes that have sent attempts of late when the upstream fills up, turns slow, or
-// has room and its usual speed again.
-type notices struct {
-	at      time.Time
-	peers   map[string]time.Time
-	pending bool
-	told    condition
+// loadNotices is the state for notifying the nodes that have recently sent attempts when the upstream
+// becomes full or slow, and when it has free slots or its usual speed again.
+type loadNotices struct {
+	lastSentAt    time.Time
+	peers         map[string]time.Time
+	pending       bool
+	lastCondition loadCondition
 }
 
-// notePeer remembers the node that has sent the attempt.
-func (e *Executor) notePeer(x *Execution) {
+// recordPeer records the time at which another node sent an attempt.
+func (e *Executor) recordPeer(x *Execution) {
 	entry, _, _ := strings.Cut(x.Attempt.Sender, ".")
 	if entry == e.Name || entry == "" {
 		return
@@ -45,14 +45,14 @@
 	e.notices.peers[entry] = e.Clock.Now()
 }
 
-// tell sends a notice if the condition has changed, at once or when the interval is over. It is called
-// with mu held.
-func (e *Executor) tell() {
+// notifyPeers sends a load notice if the condition has changed since the last one: at once, or when
+// minNoticeInterval has passed. It is called with mu held.
+func (e *Executor) notifyPeers() {
 	now := e.Clock.Now()
-	if e.notices.pending || e.condition() == e.notices.told {
+	if e.notices.pending || e.currentCondition() == e.notices.lastCondition {
 		return
 	}
-	wait := noticeInterval - now.Sub(e.notices.at)
+	wait := minNoticeInterval - now.Sub(e.notices.lastSentAt)
 	if wait <= 0 {
 		e.sendNotice(now)
 		return
@@ -62,35 +62,36 @@
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		e.notices.pending = false
-		if e.condition() != e.notices.told {
+		if e.currentCondition() != e.notices.lastCondition {
 			e.sendNotice(e.Clock.Now())
 		}
 	})
 }
 
-// condition returns the present condition. An upstream that was full has room again from two free
-// slots on, so that single requests at the limit cause no notices. It is called with mu held.
-func (e *Executor) condition() condition {
+// currentCondition returns the upstream's condition. Once reported full, an upstream counts as full until
+// two slots are free, so that single requests at the limit cause no notices. It is called with mu held.
+func (e *Executor) currentCondition() loadCondition {
 	free := e.schedule.Slots() - e.schedule.Running()
 	full := free <= 0 || e.schedule.Queued() > 0
-	if e.notices.told.full && free < 2 {
+	if e.notices.lastCondition.full && free < 2 {
 		full = true
 	}
-	return condition{full: full, slow: e.isSlow()}
+	return loadCondition{full: full, slow: e.isSlow()}
 }
 
 func (e *Executor) sendNotice(now time.Time) {
-	e.notices.told = e.condition()
-	e.notices.at = now
+	e.notices.lastCondition = e.currentCondition()
+	e.notices.lastSentAt = now
 	e.Meter.Event("load_notices")
 	go e.Links.TellLoad(e.recentPeers(now), e.currentLoad())
 }
 
-// recentPeers returns the nodes that have sent attempts last.
+// recentPeers returns up to maxNotifiedPeers nodes that have sent an attempt within peerTTL, the most recent
+// ones first, and forgets older ones. It is called with mu held.
 func (e *Executor) recentPeers(now time.Time) []string {
 	var names []string
 	for name, at := range e.notices.peers {
-		if now.Sub(at) > peerTime {
+		if now.Sub(at) > peerTTL {
 			delete(e.notices.peers, name)
 			continue
 		}
@@ -99,5 +100,5 @@
 	slices.SortFunc(names, func(a, b string) int {
 		return e.notices.peers[b].Compare(e.notices.peers[a])
 	})
-	return names[:min(len(names), maxPeers)]
+	return names[:min(len(names), maxNotifiedPeers)]
 }
--- a/internal/executor/repeat.go
+++ b/internal/executor/repeat.go
@@ -8,43 +8,44 @@
 )
 
 const (
-	// belowPart is the part of the bound on repeats that may be in use when a call below a further try comes:
-	// a further try of a call saves a run, and costs one arrival; a further run costs all of its calls.
-	belowPart = 0.5
-	// repeatPause is when a repeat over the bound is worth another try.
-	repeatPause = 100 * time.Millisecond
+	// nestedRepeatFraction is the fraction of the repeat budget that is open to calls nested in a repeated
+	// run. Retrying a single call costs one arrival and saves a run, while repeating a run costs all of its
+	// nested calls.
+	nestedRepeatFraction = 0.5
+	// repeatRetryAfter is the retry-after time of a repeat that is refused for lack of budget.
+	repeatRetryAfter = 100 * time.Millisecond
 )
 
-// repeatPart returns the part of the bound on repeats that is open to an attempt.
-func repeatPart(try carrier.Try) float64 {
+// repeatFraction returns the fraction of the repeat budget that is open to an attempt.
+func repeatFraction(try carrier.Try) float64 {
 	if try == carrier.TryBelowFurther {
-		return belowPart
+		return nestedRepeatFraction
 	}
 	return 1
 }
 
-// overRepeats returns the refusal of a repeat for which there is no room now, or nil.
-func (e *Executor) overRepeats(x *Execution) *refuser.Refusal {
-	if x.Attempt.Try == carrier.TryFirst || e.Repeats.Allows(repeatPart(x.Attempt.Try)) {
+// checkRepeatBudget returns a refusal for a repeat that the repeat budget does not cover now, or nil.
+func (e *Executor) checkRepeatBudget(x *Execution) *refuser.Refusal {
+	if x.Attempt.Try == carrier.TryFirst || e.Repeats.Allows(repeatFraction(x.Attempt.Try)) {
 		return nil
 	}
-	return overRepeats()
+	return repeatBudgetRefusal()
 }
 
-func overRepeats() *refuser.Refusal {
-	return refuser.Later(refuser.ReasonRetryBudget, repeatPause, "the upstream has had as many repeats as it may")
+func repeatBudgetRefusal() *refuser.Refusal {
+	return refuser.Later(refuser.ReasonRetryBudget, repeatRetryAfter, "the upstream has had as many repeats as it may")
 }
 
-// bookArrival books that the attempt arrives at the upstream now. It returns how to take that back, or the
-// refusal of a repeat for which there is no room.
-func (e *Executor) bookArrival(x *Execution) (undo func(), refusal *refuser.Refusal) {
+// recordArrival counts an attempt that is about to be sent to the upstream. It returns a function that
+// reverts this, or a refusal for a repeat that the repeat budget does not cover.
+func (e *Executor) recordArrival(x *Execution) (undo func(), refusal *refuser.Refusal) {
 	if x.Attempt.Try == carrier.TryFirst {
-		e.Repeats.First(x.began)
-		return func() { e.Repeats.UndoFirst(x.began) }, nil
+		e.Repeats.First(x.requestArrived)
+		return func() { e.Repeats.UndoFirst(x.requestArrived) }, nil
 	}
 	now := e.Clock.Now()
-	if !e.Repeats.Take(repeatPart(x.Attempt.Try)) {
-		return nil, overRepeats()
+	if !e.Repeats.Take(repeatFraction(x.Attempt.Try)) {
+		return nil, repeatBudgetRefusal()
 	}
 	return func() { e.Repeats.UndoTake(now) }, nil
 }
--- a/internal/executor/run.go
+++ b/internal/executor/run.go
@@ -18,40 +18,41 @@
 )
 
 const (
-	apartPause = 5 * time.Millisecond
-	apartTries = 100
-	// spentTime is how long a failure below a call is remembered.
-	spentTime = 30 * time.Second
+	// suspectRetryInterval and maxSuspectRetries limit how long a crash suspect waits for another one to end.
+	suspectRetryInterval = 5 * time.Millisecond
+	maxSuspectRetries    = 100
+	// retrySpentTTL is how long the failure of a nested call is remembered for its parent call.
+	retrySpentTTL = 30 * time.Second
 )
 
 // run sends the attempt to the upstream in the slot that w holds.
 func (e *Executor) run(ctx context.Context, x *Execution, w *scheduler.Waiter) carrier.Outcome {
-	begun, alone := e.enter(x)
-	for tries := 0; !alone && tries < apartTries; tries++ {
-		timekeeper.Sleep(ctx, e.Clock, apartPause)
-		begun, alone = e.enter(x)
+	atStart, admitted := e.registerRun(x)
+	for retries := 0; !admitted && retries < maxSuspectRetries; retries++ {
+		timekeeper.Sleep(ctx, e.Clock, suspectRetryInterval)
+		atStart, admitted = e.registerRun(x)
 	}
-	if !alone {
+	if !admitted {
 		e.release(w)
 		return carrier.Outcome{Refusal: refuser.New(refuser.ReasonQuarantined, "another request that was part of a crash runs here")}
 	}
-	if begun.instance == "" {
+	if atStart.instance == "" {
 		e.release(w)
 		return carrier.Outcome{Refusal: refuser.New(refuser.ReasonNoUpstream, "the upstream beside the node was replaced")}
 	}
-	undo, refusal := e.bookArrival(x)
+	undo, refusal := e.recordArrival(x)
 	if refusal != nil {
-		e.withdrawRun(x, w)
+		e.abortRun(x, w)
 		return carrier.Outcome{Refusal: refusal}
 	}
 	if !x.Attempt.Idempotent {
-		// What has begun to run is finished, so that its outcome can be asked for.
+		// A non-idempotent request is not cancelled once it has started, so that its outcome can be queried.
 		ctx = context.WithoutCancel(ctx)
 	}
 	out := &fasthttp.Request{}
 	x.Request.Header.CopyTo(&out.Header)
 	out.SetBodyRaw(x.Request.Body())
-	e.Stamp(&x.Attempt, out, begun.instance, x.Deadline)
+	e.Stamp(&x.Attempt, out, atStart.instance, x.Deadline)
 	started := e.Clock.Now()
 	err := e.Upstream.Do(ctx, out, x.Response, x.Deadline)
 	used := e.Clock.Now().Sub(started)
@@ -62,22 +63,23 @@
 		undo()
 	}
 	if err != nil {
-		outcome.Refusal = e.explain(ctx, begun.instance, err)
+		outcome.Refusal = e.refusalFor(ctx, atStart.instance, err)
 		outcome.Lost = x.Attempt.Idempotent && !outcome.Refusal.IsNotRun()
 		x.Response.Reset()
 	}
 	if err == nil {
-		e.exonerate(x)
+		e.clearSuspicion(x)
 	}
-	e.leave(x, w, limiter.Sample{
-		Class: x.Attempt.Rank, Latency: used, Result: e.resultOf(x.Response, err), Running: begun.running,
-		Steady: err == nil && begun.steady,
+	e.finishRun(x, w, limiter.Sample{
+		Class: x.Attempt.Rank, Latency: used, Result: e.classifyResult(x.Response, err), Running: atStart.running,
+		Steady: err == nil && atStart.steady,
 	})
 	return outcome
 }
 
-// exonerate notes that a request has run without a crash, and tells all if it was part of one.
-func (e *Executor) exonerate(x *Execution) {
+// clearSuspicion records that a request has run without a crash. If the request was a crash suspect, the
+// other nodes of the service are notified.
+func (e *Executor) clearSuspicion(x *Execution) {
 	e.mu.Lock()
 	fingerprint := e.inFlight[x]
 	e.mu.Unlock()
@@ -90,46 +92,48 @@
 	}
 }
 
-// beginning is what was known of the upstream when a request began to run there.
-type beginning struct {
-	// instance is empty where the upstream serves another service by now.
+// startState is the state of the upstream when a request started to run there.
+type startState struct {
+	// instance is empty where the upstream now serves another service.
 	instance string
-	// running is the number of requests that ran, this one included.
+	// running is the number of running requests, including this one.
 	running int
-	// steady is true where the VM ran at its usual speed.
+	// steady is true where the VM was running at its usual speed.
 	steady bool
 }
 
-// enter notes that the attempt runs. It reports false when the request and one that runs here were both
-// part of a crash: such requests run apart, so that the next crash tells which of them caused it.
-func (e *Executor) enter(x *Execution) (begun beginning, alone bool) {
+// registerRun registers the attempt as in flight. It reports false when both this request and another one in
+// flight are crash suspects: suspects with different fingerprints don't run at the same time, so that the
+// next crash shows which of them caused it. If the upstream now serves another service, nothing is registered
+// and the instance in atStart is empty.
+func (e *Executor) registerRun(x *Execution) (atStart startState, admitted bool) {
 	fingerprint := e.fingerprint(x)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.announcement.Service != x.Attempt.Service {
-		return beginning{}, true
+		return startState{}, true
 	}
 	if e.Quarantiner.IsSuspect(fingerprint) {
 		for _, other := range e.inFlight {
 			if other != fingerprint && e.Quarantiner.IsSuspect(other) {
-				return beginning{}, false
+				return startState{}, false
 			}
 		}
 	}
 	e.inFlight[x] = fingerprint
-	return beginning{instance: e.announcement.Instance, running: e.schedule.Running(), steady: e.isSteady()}, true
+	return startState{instance: e.announcement.Instance, running: e.schedule.Running(), steady: e.isSteady()}, true
 }
 
-// withdrawRun frees the slot of an attempt that is not sent to the upstream after all.
-func (e *Executor) withdrawRun(x *Execution, w *scheduler.Waiter) {
+// abortRun frees the slot of a registered attempt that is not sent to the upstream after all.
+func (e *Executor) abortRun(x *Execution, w *scheduler.Waiter) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	delete(e.inFlight, x)
 	e.schedule.Release(e.Clock.Now(), w)
 }
 
-// leave frees the slot and teaches the limit.
-func (e *Executor) leave(x *Execution, w *scheduler.Waiter, sample limiter.Sample) {
+// finishRun frees the slot and updates the limit from the sample.
+func (e *Executor) finishRun(x *Execution, w *scheduler.Waiter, sample limiter.Sample) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.Clock.Now()
@@ -139,13 +143,15 @@
 	e.limit.Observe(now, sample)
 	e.schedule.Done(now, w, sample.Latency)
 	e.applyLimit()
-	e.tell()
+	e.notifyPeers()
 }
 
-func (e *Executor) resultOf(resp *fasthttp.Response, err error) limiter.Result {
+// classifyResult tells the limiter's answered and failed results apart. Answers with the status 429,
+// 502, 503 or 504 and most errors count as failed; a cancelled or shed request counts as answered.
+func (e *Executor) classifyResult(resp *fasthttp.Response, err error) limiter.Result {
 	if err != nil {
-		// An upstream that reports its load and sheds below its slots is ill, not full: fewer requests
-		// at once would not help.
+		// An upstream that reports its load and sheds requests below its number of slots is faulty, not
+		// full: fewer concurrent requests would not help.
 		if errors.Is(err, forwarder.ErrCancelled) || errors.Is(err, ErrShed) {
 			return limiter.ResultAnswered
 		}
@@ -160,8 +166,9 @@
 	}
 }
 
-// explain turns an error of the upstream's connection into a refusal.
-func (e *Executor) explain(ctx context.Context, instance string, err error) *refuser.Refusal {
+// refusalFor converts an error of Upstream.Do into a refusal. It reports the upstream as down or crashed where
+// the error indicates that.
+func (e *Executor) refusalFor(ctx context.Context, instance string, err error) *refuser.Refusal {
 	switch {
 	case errors.Is(err, forwarder.ErrNotSent):
 		if errors.Is(err, syscall.ECONNREFUSED) {
@@ -189,19 +196,21 @@
 	}
 }
 
-// crashReport is the report of one crash; done is closed when the service's nodes have heard of it.
+// crashReport is the report of one crash. The channel done is closed when the report has been sent to the
+// service's nodes, or turned out not to be needed.
 type crashReport struct {
 	done     chan struct{}
 	instance string
 }
 
-// reportCrash tells the service's nodes what ran when the upstream's process went away. It returns
-// after they have heard, so that a repeated request meets nodes that know of it.
+// reportCrash reports to the service's nodes which requests were running when the upstream's process
+// crashed, except those known to have run without a crash before. It returns after the report, so that a retry
+// of a request reaches nodes that know of the crash.
 func (e *Executor) reportCrash(ctx context.Context, instance string) {
 	e.mu.Lock()
 	report := e.crash
-	first := report == nil || report.instance != instance
-	if first {
+	isReporter := report == nil || report.instance != instance
+	if isReporter {
 		report = &crashReport{done: make(chan struct{}), instance: instance}
 		e.crash = report
 	}
@@ -212,7 +221,7 @@
 		}
 	}
 	e.mu.Unlock()
-	if !first {
+	if !isReporter {
 		<-report.done
 		return
 	}
@@ -232,7 +241,7 @@
 	e.Links.ReportCrash(ctx, crash)
 }
 
-// Find returns the attempt that the upstream runs for a call, by the call's id or by the one that its
+// Find returns the running attempt of a call, looked up by the call's id or by the request id that its
 // caller gave it. Empty ids match nothing.
 func (e *Executor) Find(call, request string) (carrier.Attempt, bool) {
 	if call == "" && request == "" {
@@ -249,10 +258,10 @@
 	return carrier.Attempt{}, false
 }
 
-// FailedBelow notes that a call made on behalf of the given one failed for good, so that nobody
-// above retries it again.
+// FailedBelow records that a call nested in the given one has finally failed. The outcome of the given call
+// says so, so that no caller above retries it again.
 func (e *Executor) FailedBelow(call string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.spent[call] = e.Clock.Now().Add(spentTime)
+	e.retrySpent[call] = e.Clock.Now().Add(retrySpentTTL)
 }
--- a/internal/executor/slow_test.go
+++ b/internal/executor/slow_test.go
@@ -13,11 +13,11 @@
 	"github.com/marigoldrelay/marigoldrelay/pkg/announcer"
 )
 
-// offer sends one attempt to the member.
-func (m *member) offer(id string, change func(a *carrier.Attempt)) carrier.Outcome {
-	x := m.execution(id, time.Now().Add(time.Second))
+// sendAttempt executes one attempt of rank urgent at the member, after applying modify to it.
+func (m *member) sendAttempt(id string, modify func(a *carrier.Attempt)) carrier.Outcome {
+	x := m.newExecution(id, time.Now().Add(time.Second))
 	x.Attempt.Rank = "urgent"
-	change(&x.Attempt)
+	modify(&x.Attempt)
 	return m.Execute(context.Background(), x)
 }
 
@@ -28,49 +28,49 @@
 	return outcome.Refusal.Reason
 }
 
-// TestOptionalAttemptsAreHandedBack offers attempts to an upstream that is slow, and to one that is
-// full. What can go elsewhere comes back at once; what can't runs here.
+// TestOptionalAttemptsAreHandedBack sends attempts to an upstream that is slow, and then full. Attempts that
+// can go to another node must be refused at once; others, and relaxed ones at a slow upstream, must run.
 func TestOptionalAttemptsAreHandedBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := newGroup(t, 1, true, 1, 1e9, testDocument(time.Second)).members[0]
 		optional := func(a *carrier.Attempt) { a.Optional = true }
-		must := func(*carrier.Attempt) {}
+		mandatory := func(*carrier.Attempt) {}
 		relaxed := func(a *carrier.Attempt) { a.Optional, a.Relaxed = true, true }
 		m.Report(interpreter.Load{Slots: testSlots, Slowdown: 1})
-		if got := reasonOf(m.offer("well", optional)); got != "" {
-			t.Errorf("well: refused as %s", got)
+		if got := reasonOf(m.sendAttempt("well", optional)); got != "" {
+			t.Errorf("usual speed: refused as %s", got)
 		}
 		m.Report(interpreter.Load{Slots: testSlots, Slowdown: 7})
-		if got := reasonOf(m.offer("slow", optional)); got != refuser.ReasonBusy {
+		if got := reasonOf(m.sendAttempt("slow", optional)); got != refuser.ReasonBusy {
 			t.Errorf("slow: %q", got)
 		}
-		if got := reasonOf(m.offer("must", must)); got != "" {
+		if got := reasonOf(m.sendAttempt("must", mandatory)); got != "" {
 			t.Errorf("slow, no other node: refused as %s", got)
 		}
 		m.Report(interpreter.Load{Slots: testSlots, Slowdown: 7})
-		if got := reasonOf(m.offer("relaxed", relaxed)); got != "" {
+		if got := reasonOf(m.sendAttempt("relaxed", relaxed)); got != "" {
 			t.Errorf("slow, time to spare: refused as %s", got)
 		}
-		time.Sleep(loadTime)
-		if got := reasonOf(m.offer("old word", optional)); got != "" {
-			t.Errorf("a word that is too old: refused as %s", got)
+		time.Sleep(loadReportTTL)
+		if got := reasonOf(m.sendAttempt("old word", optional)); got != "" {
+			t.Errorf("expired load report: refused as %s", got)
 		}
 		m.Report(interpreter.Load{Slots: testSlots, Slowdown: 1})
 		m.group.demand = func(string) time.Duration { return 100 * time.Millisecond }
 		for range testSlots {
-			go m.offer("filler", must)
+			go m.sendAttempt("filler", mandatory)
 		}
 		synctest.Wait()
-		if got := reasonOf(m.offer("full", optional)); got != refuser.ReasonBusy {
+		if got := reasonOf(m.sendAttempt("full", optional)); got != refuser.ReasonBusy {
 			t.Errorf("full: %q", got)
 		}
 		time.Sleep(time.Second)
 	})
 }
 
-// TestReplacedUpstreamRunsNothingOfTheOld has an instance of another service take the address while
-// requests wait.
-func TestReplacedUpstreamRunsNothingOfTheOld(t *testing.T) {
+// TestReplacedUpstreamRunsNoQueuedRequest replaces the upstream by one of another service at the same address
+// while requests are queued. The queued requests must be refused as not run.
+func TestReplacedUpstreamRunsNoQueuedRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGroup(t, 1, true, 1, 1e9, testDocument(time.Second))
 		m := g.members[0]
@@ -78,7 +78,7 @@
 		g.demand = func(string) time.Duration { return 100 * time.Millisecond }
 		outcomes := make(chan carrier.Outcome, 3*testSlots)
 		for range 3 * testSlots {
-			go func() { outcomes <- m.offer("old", func(*carrier.Attempt) {}) }()
+			go func() { outcomes <- m.sendAttempt("old", func(*carrier.Attempt) {}) }()
 		}
 		synctest.Wait()
 		m.Announced(announcer.Announcement{
@@ -98,21 +98,21 @@
 	})
 }
 
-// TestBurstOnAFullUpstream sends four times what an upstream can take for a second. Those that are
-// served are served in time, and nobody waits for a refusal much longer than an answer is of use.
+// TestBurstOnAFullUpstream sends four times the capacity of an upstream for one second. Almost all requests that
+// are served must be in time, and no refusal may take longer than the target latency.
 func TestBurstOnAFullUpstream(t *testing.T) {
 	const (
-		work   = 100 * time.Millisecond
-		target = 250 * time.Millisecond
+		serviceTime   = 100 * time.Millisecond
+		targetLatency = 250 * time.Millisecond
 	)
 	synctest.Test(t, func(t *testing.T) {
 		g := newGroup(t, 1, false, 1, 1e9, testDocument(time.Second))
 		m := g.members[0]
 		m.Report(interpreter.Load{Slots: testSlots, Slowdown: 1})
-		g.demand = func(string) time.Duration { return work }
+		g.demand = func(string) time.Duration { return serviceTime }
 		type result struct {
 			refused bool
-			taken   time.Duration
+			elapsed time.Duration
 		}
 		results := make(chan result, 1000)
 		sent := 0
@@ -120,7 +120,7 @@
 			sent++
 			go func() {
 				started := time.Now()
-				outcome := m.offer("burst", func(a *carrier.Attempt) { a.Useful = target - work })
+				outcome := m.sendAttempt("burst", func(a *carrier.Attempt) { a.Useful = targetLatency - serviceTime })
 				results <- result{outcome.Refusal != nil, time.Since(started)}
 			}()
 			time.Sleep(time.Second / 480)
@@ -129,37 +129,37 @@
 		for range sent {
 			r := <-results
 			switch {
-			case r.refused && r.taken > target:
-				t.Errorf("a refusal took %s", r.taken)
-			case !r.refused && r.taken <= target:
+			case r.refused && r.elapsed > targetLatency:
+				t.Errorf("a refusal took %s", r.elapsed)
+			case !r.refused && r.elapsed <= targetLatency:
 				inTime++
 			case !r.refused:
 				late++
 			}
 		}
 		t.Logf("%d in time, %d late of %d", inTime, late, sent)
-		// The upstream can serve 120 a second, and those that wait at the end.
+		// The upstream can serve 120 requests in the second, plus those queued at its end.
 		if inTime < 115 || late > 12 {
 			t.Errorf("%d in time and %d late, want at least 115 and at most 12", inTime, late)
 		}
 	})
 }
 
-// TestSuspectsRunApart offers two requests that were part of one crash. While the first runs the second waits,
-// and is refused for what it is.
-func TestSuspectsRunApart(t *testing.T) {
+// TestCrashSuspectsDoNotOverlap sends two requests that were part of the same crash. While the first one runs
+// the second must wait, and it is refused as quarantined when the first takes too long.
+func TestCrashSuspectsDoNotOverlap(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := newGroup(t, 1, true, 1, 1e9, testDocument(time.Second)).members[0]
 		m.group.demand = func(string) time.Duration { return 800 * time.Millisecond }
 		crash := quarantiner.Crash{Instance: "crashed", Service: testService}
 		for _, id := range []string{"first", "second"} {
-			crash.Fingerprints = append(crash.Fingerprints, m.fingerprint(m.execution(id, time.Now())))
+			crash.Fingerprints = append(crash.Fingerprints, m.fingerprint(m.newExecution(id, time.Now())))
 		}
 		m.Quarantiner.Report(crash)
-		must := func(*carrier.Attempt) {}
-		go m.offer("first", must)
+		mandatory := func(*carrier.Attempt) {}
+		go m.sendAttempt("first", mandatory)
 		synctest.Wait()
-		if got := reasonOf(m.offer("second", must)); got != refuser.ReasonQuarantined {
+		if got := reasonOf(m.sendAttempt("second", mandatory)); got != refuser.ReasonQuarantined {
 			t.Errorf("the second suspect: %q, want %q", got, refuser.ReasonQuarantined)
 		}
 		time.Sleep(time.Second)
--- a/internal/executor/wait.go
+++ b/internal/executor/wait.go
@@ -9,18 +9,19 @@
 	"github.com/marigoldrelay/marigoldrelay/internal/scheduler"
 )
 
-// wait queues the attempt with this node as its home until a slot here or at a sibling is free.
-func (e *Executor) wait(ctx context.Context, x *Execution, arrived time.Time) carrier.Outcome {
+// runQueued queues the attempt, with this node as its home, and runs it in the first slot that becomes free
+// here or at a sibling. It queues again if a sibling did not keep its slot, up to maxBindings times in all.
+func (e *Executor) runQueued(ctx context.Context, x *Execution, arrived time.Time) carrier.Outcome {
 	for range maxBindings {
-		verdict, w, refusal := e.queue(ctx, x, arrived)
+		verdict, w, refusal := e.awaitDecision(ctx, x, arrived)
 		if refusal != nil {
 			return carrier.Outcome{Refusal: refusal}
 		}
 		if !verdict.Taken {
 			return e.run(ctx, x, w)
 		}
-		outcome, settled := e.sendBound(ctx, x, verdict.Binding)
-		if settled {
+		outcome, final := e.sendBound(ctx, x, verdict.Binding)
+		if final {
 			return outcome
 		}
 		e.Meter.Event("bindings_undone")
@@ -28,8 +29,9 @@
 	return carrier.Outcome{Refusal: refuser.Later(refuser.ReasonQueueFull, sweepInterval, "no sibling kept its promised slot")}
 }
 
-// queue waits for the scheduler's verdict. It returns a refusal when the attempt is given up.
-func (e *Executor) queue(ctx context.Context, x *Execution, arrived time.Time) (scheduler.Verdict, *scheduler.Waiter, *refuser.Refusal) {
+// awaitDecision submits the attempt to the scheduler and waits for its decision. It returns a refusal when
+// the attempt is refused or cancelled.
+func (e *Executor) awaitDecision(ctx context.Context, x *Execution, arrived time.Time) (scheduler.Verdict, *scheduler.Waiter, *refuser.Refusal) {
 	w := scheduler.NewWaiter(arrived, e.class(x), x.Deadline)
 	w.Useful = x.usefulUntil(arrived)
 	e.mu.Lock()
@@ -38,7 +40,7 @@
 	if !queued {
 		return scheduler.Verdict{}, w, refusal
 	}
-	e.reserve(x)
+	e.placeReservation(x)
 	select {
 	case verdict := <-w.Verdicts:
 		if verdict.Refusal == nil && ctx.Err() != nil {
@@ -50,7 +52,7 @@
 	}
 }
 
-// withdraw takes a cancelled waiter out of the queue, or gives back what it was granted meanwhile.
+// withdraw removes a cancelled waiter from the queue, or returns the slot that it was granted meanwhile.
 func (e *Executor) withdraw(w *scheduler.Waiter) (scheduler.Verdict, *scheduler.Waiter, *refuser.Refusal) {
 	e.mu.Lock()
 	withdrawn := e.schedule.Withdraw(w)
@@ -61,7 +63,7 @@
 	return e.abandon(w, <-w.Verdicts)
 }
 
-// abandon gives back a slot that nobody needs any more. A slot at a sibling lapses by itself.
+// abandon returns the slot of a cancelled waiter. A slot at a sibling expires by itself.
 func (e *Executor) abandon(w *scheduler.Waiter, verdict scheduler.Verdict) (scheduler.Verdict, *scheduler.Waiter, *refuser.Refusal) {
 	if verdict.Refusal != nil {
 		return verdict, w, verdict.Refusal
@@ -74,8 +76,9 @@
 	return verdict, w, refuser.New(refuser.ReasonCancelled, "the caller went away")
 }
 
-// sendBound sends the attempt to the sibling that holds a slot for it. It reports false when the
-// sibling has certainly not run it.
+// sendBound sends the attempt to the sibling that holds a slot for it. It reports false when the sibling has
+// certainly not run it and another slot can help; for a quarantined request or an exhausted repeat budget
+// none can.
 func (e *Executor) sendBound(ctx context.Context, x *Execution, binding scheduler.Binding) (carrier.Outcome, bool) {
 	to, ok := e.Siblings.Member(binding.Server)
 	if !ok {
@@ -91,7 +94,8 @@
 	return outcome, outcome.IsRefusedAs(refuser.ReasonPoison) || outcome.IsRefusedAs(refuser.ReasonRetryBudget)
 }
 
-// ReserveRequest asks a sibling to pull from Home when it frees a slot.
+// ReserveRequest asks a sibling to pull a request of the class from Home when it has a free slot. Timeout is
+// the time left until the request's deadline.
 type ReserveRequest struct {
 	Home      string        `json:"home"`
 	Neighbour string        `json:"neighbour"`
@@ -99,13 +103,14 @@
 	Timeout   time.Duration `json:"timeout"`
 }
 
-// reserve places one reservation with another sibling, if the byte budget allows.
-func (e *Executor) reserve(x *Execution) {
+// placeReservation places one reservation with a sibling if the byte budget allows it. It does not wait for
+// the message.
+func (e *Executor) placeReservation(x *Execution) {
 	sibling, ok := e.Siblings.Reservation(x.Attempt.Service, []string{e.Name})
 	if !ok {
 		return
 	}
-	if !e.Bytes.Allows(reservationCost) {
+	if !e.Bytes.Allows(reservationBytes) {
 		e.Meter.Event("reservations_over_budget")
 		return
 	}
@@ -124,14 +129,15 @@
 	}()
 }
 
-// Reserve takes a sibling's reservation. It returns at once.
+// Reserve queues the reservation of a sibling, or pulls a request for it if a slot is free. It does not
+// block.
 func (e *Executor) Reserve(request ReserveRequest) {
 	now := e.Clock.Now()
 	class := scheduler.Class{Neighbour: request.Neighbour, Rank: request.Rank}
 	w := scheduler.NewReservation(now, class, now.Add(request.Timeout))
 	e.mu.Lock()
 	if e.limit.FailureRate() > maxFailureRate || e.isSlow() {
-		// An upstream that fails fast frees its slots fast; it must not draw work by that.
+		// An upstream that fails fast frees its slots fast; it must not attract work that way.
 		e.mu.Unlock()
 		e.Meter.Event("reservations_declined")
 		return
@@ -144,7 +150,7 @@
 	case queued:
 		go e.awaitReservation(w, request.Home)
 	default:
-		go e.pull(w, request.Home)
+		go e.pullFromHome(w, request.Home)
 	}
 }
 
@@ -153,25 +159,25 @@
 	if verdict.Refusal != nil || verdict.Taken {
 		return
 	}
-	e.pull(w, home)
+	e.pullFromHome(w, home)
 }
 
-// PullRequest offers a slot that is held under Grant at the node called From.
+// PullRequest offers the slot that the node From holds under Grant.
 type PullRequest struct {
 	From  string `json:"from"`
 	Grant uint64 `json:"grant"`
 }
 
-// PullReply tells whether a request was bound to the offered slot, and its class.
+// PullReply says whether a request was bound to the offered slot, and if so, gives its class.
 type PullReply struct {
 	Bound     bool   `json:"bound"`
 	Neighbour string `json:"neighbour,omitempty"`
 	Rank      int    `json:"rank,omitempty"`
 }
 
-// pull asks the home for a request that can run in the slot that w holds. The slot is held until
-// the request comes or a short time has passed.
-func (e *Executor) pull(w *scheduler.Waiter, home string) {
+// pullFromHome asks the home for a request to run in the slot that w holds. The slot is held until the
+// request arrives, or for grantTimeout after the reply.
+func (e *Executor) pullFromHome(w *scheduler.Waiter, home string) {
 	member, ok := e.Siblings.Member(home)
 	if !ok {
 		e.release(w)
@@ -193,7 +199,7 @@
 	defer cancel()
 	reply, err := e.Links.Pull(ctx, member, PullRequest{From: e.Name, Grant: grant})
 	if err != nil || !reply.Bound {
-		e.dropGrant(grant)
+		e.releaseGrant(grant)
 		return
 	}
 	e.mu.Lock()
@@ -201,16 +207,18 @@
 		e.schedule.Rebind(w, scheduler.Class{Neighbour: reply.Neighbour, Rank: reply.Rank})
 	}
 	e.mu.Unlock()
-	e.Clock.AfterFunc(grantTimeout, func() { e.dropGrant(grant) })
+	e.Clock.AfterFunc(grantTimeout, func() { e.releaseGrant(grant) })
 }
 
-// dropGrant frees the slot held under a grant, unless the request has come.
-func (e *Executor) dropGrant(grant uint64) {
+// releaseGrant frees the slot held under a grant, unless the request has arrived.
+func (e *Executor) releaseGrant(grant uint64) {
 	if w := e.takeGrant(grant); w != nil {
 		e.release(w)
 	}
 }
 
+// takeGrant removes a grant and returns the waiter that holds its slot, or nil if the grant has expired or
+// was used.
 func (e *Executor) takeGrant(grant uint64) *scheduler.Waiter {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -225,7 +233,7 @@
 	e.schedule.Release(e.Clock.Now(), w)
 }
 
-// Pull binds the request that is entitled to be served next to the offered slot.
+// Pull binds the request that is next in the scheduler's order to the offered slot of a sibling.
 func (e *Executor) Pull(request PullRequest) PullReply {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -237,7 +245,7 @@
 	return PullReply{Bound: true, Neighbour: w.Class.Neighbour, Rank: w.Class.Rank}
 }
 
-// runGranted runs the attempt in the slot that this node holds for it.
+// runGranted runs the attempt in the slot that this node holds for it under the attempt's grant.
 func (e *Executor) runGranted(ctx context.Context, x *Execution) carrier.Outcome {
 	w := e.takeGrant(x.Attempt.Grant)
 	if w == nil {
