--- a/internal/executor/executor.go
+++ b/internal/executor/executor.go
@@ -288,7 +288,7 @@
 	defer e.mu.Unlock()
 	var accounts []AccountStatus
 	for _, account := range e.schedule.Accounts() {
-		status := AccountStatus{Neighbour: account.Class.Neighbour, Taken: account.Taken}
+		status := AccountStatus{Neighbour: account.Class.Neighbour, Taken: account.SlotTime}
 		if document != nil && account.Class.Rank < len(document.Ranks) {
 			status.Rank = document.Ranks[account.Class.Rank].Name
 		}
@@ -438,7 +438,7 @@
 	}
 	now := e.Clock.Now()
 	w := scheduler.NewWaiter(now, e.class(x), x.Deadline)
-	w.Useful = x.usefulUntil(now)
+	w.UsefulUntil = x.usefulUntil(now)
 	e.mu.Lock()
 	if x.Attempt.Optional && !e.canStartPromptly(x.Attempt.Relaxed) {
 		e.mu.Unlock()
--- a/internal/executor/load.go
+++ b/internal/executor/load.go
@@ -33,7 +33,7 @@
 	if e.isSlow() {
 		stall = slowStall
 	}
-	e.schedule.SetPause(stall)
+	e.schedule.SetExpectedStall(stall)
 	e.applyLimit()
 	e.notifyPeers()
 }
--- a/internal/executor/wait.go
+++ b/internal/executor/wait.go
@@ -13,14 +13,14 @@
 // here or at a sibling. It queues again if a sibling did not keep its slot, up to maxBindings times in all.
 func (e *Executor) runQueued(ctx context.Context, x *Execution, arrived time.Time) carrier.Outcome {
 	for range maxBindings {
-		verdict, w, refusal := e.awaitDecision(ctx, x, arrived)
+		decision, w, refusal := e.awaitDecision(ctx, x, arrived)
 		if refusal != nil {
 			return carrier.Outcome{Refusal: refusal}
 		}
-		if !verdict.Taken {
+		if !decision.Bound {
 			return e.run(ctx, x, w)
 		}
-		outcome, final := e.sendBound(ctx, x, verdict.Binding)
+		outcome, final := e.sendBound(ctx, x, decision.Binding)
 		if final {
 			return outcome
 		}
@@ -31,49 +31,49 @@
 
 // awaitDecision submits the attempt to the scheduler and waits for its decision. It returns a refusal when
 // the attempt is refused or cancelled.
-func (e *Executor) awaitDecision(ctx context.Context, x *Execution, arrived time.Time) (scheduler.Verdict, *scheduler.Waiter, *refuser.Refusal) {
+func (e *Executor) awaitDecision(ctx context.Context, x *Execution, arrived time.Time) (scheduler.Decision, *scheduler.Waiter, *refuser.Refusal) {
 	w := scheduler.NewWaiter(arrived, e.class(x), x.Deadline)
-	w.Useful = x.usefulUntil(arrived)
+	w.UsefulUntil = x.usefulUntil(arrived)
 	e.mu.Lock()
 	queued, refusal := e.schedule.Submit(e.Clock.Now(), w)
 	e.mu.Unlock()
 	if !queued {
-		return scheduler.Verdict{}, w, refusal
+		return scheduler.Decision{}, w, refusal
 	}
 	e.placeReservation(x)
 	select {
-	case verdict := <-w.Verdicts:
-		if verdict.Refusal == nil && ctx.Err() != nil {
-			return e.abandon(w, verdict)
+	case decision := <-w.Decisions:
+		if decision.Refusal == nil && ctx.Err() != nil {
+			return e.abandon(w, decision)
 		}
-		return verdict, w, verdict.Refusal
+		return decision, w, decision.Refusal
 	case <-ctx.Done():
 		return e.withdraw(w)
 	}
 }
 
 // withdraw removes a cancelled waiter from the queue, or returns the slot that it was granted meanwhile.
-func (e *Executor) withdraw(w *scheduler.Waiter) (scheduler.Verdict, *scheduler.Waiter, *refuser.Refusal) {
+func (e *Executor) withdraw(w *scheduler.Waiter) (scheduler.Decision, *scheduler.Waiter, *refuser.Refusal) {
 	e.mu.Lock()
 	withdrawn := e.schedule.Withdraw(w)
 	e.mu.Unlock()
 	if withdrawn {
-		return scheduler.Verdict{}, w, refuser.New(refuser.ReasonCancelled, "the caller went away")
+		return scheduler.Decision{}, w, refuser.New(refuser.ReasonCancelled, "the caller went away")
 	}
-	return e.abandon(w, <-w.Verdicts)
+	return e.abandon(w, <-w.Decisions)
 }
 
 // abandon returns the slot of a cancelled waiter. A slot at a sibling expires by itself.
-func (e *Executor) abandon(w *scheduler.Waiter, verdict scheduler.Verdict) (scheduler.Verdict, *scheduler.Waiter, *refuser.Refusal) {
-	if verdict.Refusal != nil {
-		return verdict, w, verdict.Refusal
+func (e *Executor) abandon(w *scheduler.Waiter, decision scheduler.Decision) (scheduler.Decision, *scheduler.Waiter, *refuser.Refusal) {
+	if decision.Refusal != nil {
+		return decision, w, decision.Refusal
 	}
-	if !verdict.Taken {
+	if !decision.Bound {
 		e.mu.Lock()
 		e.schedule.Release(e.Clock.Now(), w)
 		e.mu.Unlock()
 	}
-	return verdict, w, refuser.New(refuser.ReasonCancelled, "the caller went away")
+	return decision, w, refuser.New(refuser.ReasonCancelled, "the caller went away")
 }
 
 // sendBound sends the attempt to the sibling that holds a slot for it. It reports false when the sibling has
@@ -155,8 +155,8 @@
 }
 
 func (e *Executor) awaitReservation(w *scheduler.Waiter, home string) {
-	verdict := <-w.Verdicts
-	if verdict.Refusal != nil || verdict.Taken {
+	decision := <-w.Decisions
+	if decision.Refusal != nil || decision.Bound {
 		return
 	}
 	e.pullFromHome(w, home)
@@ -204,7 +204,7 @@
 	}
 	e.mu.Lock()
 	if _, held := e.grants[grant]; held {
-		e.schedule.Rebind(w, scheduler.Class{Neighbour: reply.Neighbour, Rank: reply.Rank})
+		e.schedule.Reclassify(w, scheduler.Class{Neighbour: reply.Neighbour, Rank: reply.Rank})
 	}
 	e.mu.Unlock()
 	e.Clock.AfterFunc(grantTimeout, func() { e.releaseGrant(grant) })
@@ -237,7 +237,7 @@
 func (e *Executor) Pull(request PullRequest) PullReply {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	w := e.schedule.Take(e.Clock.Now(), scheduler.Binding{Grant: request.Grant, Server: request.From})
+	w := e.schedule.BindNext(e.Clock.Now(), scheduler.Binding{Grant: request.Grant, Server: request.From})
 	if w == nil {
 		e.Meter.Event("pulls_void")
 		return PullReply{}
--- a/internal/scheduler/account.go
+++ b/internal/scheduler/account.go
@@ -4,38 +4,40 @@
 	"time"
 )
 
-// charge books the expected cost of a request that leaves the queue or never was in it.
+// charge accounts for the expected cost of a request that leaves the queue or was never queued.
 func (s *Scheduler) charge(w *Waiter) {
-	w.charged = s.cost(w.Class)
-	rank := s.rank(w.Class)
-	served := s.flow(w.Class).charge(rank.virtual, w.charged, w.phase == phaseQueued)
-	rank.virtual = max(rank.virtual, served)
-	s.book(rank, w.charged)
+	w.charged = s.expectedCost(w.Class)
+	rank := s.rankOf(w.Class)
+	startTag := s.flowOf(w.Class).charge(rank.virtualTime, w.charged, w.phase == phaseQueued)
+	rank.virtualTime = max(rank.virtualTime, startTag)
+	s.updateCredits(rank, w.charged)
 }
 
-// correct books the difference between the true and the charged cost of a request.
+// correct accounts for the difference between the actual and the charged cost of a request.
 func (s *Scheduler) correct(class Class, difference time.Duration) {
-	rank := s.rank(class)
-	s.flow(class).correct(difference, rank.virtual)
-	s.book(rank, difference)
+	rank := s.rankOf(class)
+	s.flowOf(class).correct(difference, rank.virtualTime)
+	s.updateCredits(rank, difference)
 }
 
-// book moves the ranks' credits for slot-time that a rank used, or gave back. Each rank earns its guaranteed share
-// of it; what a rank without a backlog earns is bounded by the cost of one request.
-func (s *Scheduler) book(user *rankState, cost time.Duration) {
-	window := creditWindow * time.Duration(max(1, s.slots))
-	burst := time.Duration(s.mean * float64(time.Second))
+// updateCredits adjusts the credits of all ranks for slot-time that the consumer used, or returned if the cost
+// is negative. Each rank earns its guaranteed share of the cost, and the consumer pays all of it. Credit and
+// debt are bounded by creditWindow of all slots; the credit of a rank without a backlog is bounded by the mean
+// cost of one request.
+func (s *Scheduler) updateCredits(consumer *rankState, cost time.Duration) {
+	maxCredit := creditWindow * time.Duration(max(1, s.slots))
+	maxIdleCredit := time.Duration(s.meanCost * float64(time.Second))
 	for i, rank := range s.ranks {
 		earned := time.Duration(float64(cost) * s.rankConfig(i).GuaranteedShare)
-		bound := burst
+		bound := maxIdleCredit
 		if rank.queued > 0 {
-			bound = window
+			bound = maxCredit
 		}
 		rank.credit = min(rank.credit+earned, bound)
 	}
-	user.credit = max(user.credit-cost, -window)
-	user.taken += cost
-	s.total += cost
+	consumer.credit = max(consumer.credit-cost, -maxCredit)
+	consumer.slotTime += cost
+	s.totalSlotTime += cost
 }
 
 const (
@@ -43,57 +45,58 @@
 	rateWindow    = 100 * time.Millisecond
 )
 
-// roll measures, once in each window, how fast every rank with a backlog is served.
-func (s *Scheduler) roll(now time.Time) {
-	passed := now.Sub(s.rolled)
-	if passed < rateWindow {
+// updateRates measures the service rate of every rank with a backlog, once per rateWindow.
+func (s *Scheduler) updateRates(now time.Time) {
+	elapsed := now.Sub(s.ratesUpdated)
+	if elapsed < rateWindow {
 		return
 	}
-	s.rolled = now
+	s.ratesUpdated = now
 	for _, rank := range s.ranks {
-		rank.roll(passed)
+		rank.updateRate(elapsed)
 	}
 }
 
-// roll ends a window. The rate is only known of a rank that had a backlog at both ends of it; it
-// includes what other servers took from the queue.
-func (r *rankState) roll(passed time.Duration) {
-	rate := (r.taken - r.rolledTaken).Seconds() / passed.Seconds()
+// updateRate updates the service rate at the end of a window. The rate is known only if the rank had a backlog
+// at both ends of the window. It includes requests that were bound to other servers.
+func (r *rankState) updateRate(elapsed time.Duration) {
+	rate := (r.slotTime - r.slotTimeAtUpdate).Seconds() / elapsed.Seconds()
 	switch {
-	case r.queued == 0 || !r.rolledQueued:
-		r.rate = 0
-	case r.rate == 0:
-		r.rate = rate
+	case r.queued == 0 || !r.wasBacklogged:
+		r.serviceRate = 0
+	case r.serviceRate == 0:
+		r.serviceRate = rate
 	default:
-		r.rate += rateSmoothing * (rate - r.rate)
+		r.serviceRate += rateSmoothing * (rate - r.serviceRate)
 	}
-	r.rolledQueued = r.queued > 0
-	r.rolledTaken = r.taken
+	r.wasBacklogged = r.queued > 0
+	r.slotTimeAtUpdate = r.slotTime
 }
 
-func (s *Scheduler) learn(class Class, used time.Duration) {
+// updateCost adds the actual slot-time of a request to the smoothed means.
+func (s *Scheduler) updateCost(class Class, used time.Duration) {
 	seconds := used.Seconds()
 	old, ok := s.costs[class]
 	if !ok {
 		old = seconds
 	}
 	s.costs[class] = old + costSmoothing*(seconds-old)
-	s.mean += costSmoothing * (seconds - s.mean)
+	s.meanCost += costSmoothing * (seconds - s.meanCost)
 }
 
-// Account is the slot-time that one class has taken.
+// Account is the slot-time that the requests of one class have used.
 type Account struct {
-	Class Class
-	Taken time.Duration
+	Class    Class
+	SlotTime time.Duration
 }
 
-// Accounts returns the slot-time taken by each class, in no particular order.
+// Accounts returns the slot-time used by each class, in no particular order.
 func (s *Scheduler) Accounts() []Account {
 	var accounts []Account
 	for i, rank := range s.ranks {
 		for _, f := range rank.flows {
 			class := Class{Rank: i, Neighbour: f.neighbour}
-			accounts = append(accounts, Account{Class: class, Taken: f.taken})
+			accounts = append(accounts, Account{Class: class, SlotTime: f.slotTime})
 		}
 	}
 	return accounts
--- a/internal/scheduler/admission.go
+++ b/internal/scheduler/admission.go
@@ -6,9 +6,9 @@
 	"github.com/marigoldrelay/marigoldrelay/internal/refuser"
 )
 
-// refuse returns why w should not be queued, or nil.
-func (s *Scheduler) refuse(now time.Time, w *Waiter) *refuser.Refusal {
-	if s.queued >= maxQueue {
+// admissionRefusal returns a refusal if w should not be queued, or nil.
+func (s *Scheduler) admissionRefusal(now time.Time, w *Waiter) *refuser.Refusal {
+	if s.queued >= maxQueued {
 		return refuser.Later(refuser.ReasonQueueFull, s.retryAfter(w.Class, 0), "the queue is full")
 	}
 	if w.Reservation {
@@ -16,57 +16,61 @@
 	}
 	wait := s.ExpectedWait(w.Class)
 	target := s.rankConfig(w.Class.Rank).TargetWait
-	if !w.Useful.IsZero() {
-		target = w.Useful.Sub(now)
+	if !w.UsefulUntil.IsZero() {
+		target = w.UsefulUntil.Sub(now)
 	}
-	// A neighbour can always have one request in the queue, so that expensive ones get their share.
-	if wait+s.pause > target && len(s.flow(w.Class).queue) > 0 {
+	// A neighbour can always have one request of each rank queued, so that a neighbour whose requests are
+	// expensive gets its share.
+	if wait+s.expectedStall > target && len(s.flowOf(w.Class).queue) > 0 {
 		return refuser.Later(refuser.ReasonQueueFull, s.retryAfter(w.Class, target), "the expected wait is too long")
 	}
-	if now.Add(wait + s.cost(w.Class)).After(w.Deadline) {
+	if now.Add(wait + s.expectedCost(w.Class)).After(w.Deadline) {
 		return refuser.Later(refuser.ReasonDeadline, s.retryAfter(w.Class, w.Deadline.Sub(now)), "the deadline can't be met")
 	}
 	return nil
 }
 
-// SetPause tells for how long the upstream will make next to no progress.
-func (s *Scheduler) SetPause(pause time.Duration) {
-	s.pause = pause
+// SetExpectedStall sets for how long the upstream is expected to make almost no progress. It is added to the
+// expected wait of new requests.
+func (s *Scheduler) SetExpectedStall(stall time.Duration) {
+	s.expectedStall = stall
 }
 
-// retryAfter returns how long the backlog takes to shrink to an acceptable wait.
+// retryAfter returns the time after which a retry can be accepted: when the expected wait has dropped to half
+// of the acceptable one, and at least minRetryAfter.
 func (s *Scheduler) retryAfter(class Class, acceptable time.Duration) time.Duration {
 	return max(minRetryAfter, s.ExpectedWait(class)-max(0, acceptable)/2)
 }
 
-// ExpectedWait returns how long a new request of the class would wait for a slot: its rank's backlog
-// at the rate at which the rank was served of late, or, where that is not known, the backlog before
-// it at the rate that its rank and neighbour can claim.
+// ExpectedWait returns how long a new request of the class would wait for a slot; zero if one is free and
+// nothing is queued. It divides the backlog ahead of the request in its rank by the recent service rate of the
+// rank. Where that rate is not known, it assumes that all slots serve the backlog ahead, including that of more
+// urgent ranks, or that the rank is served at its guaranteed share, whichever gives the shorter wait.
 func (s *Scheduler) ExpectedWait(class Class) time.Duration {
 	if s.running < s.slots && s.queued == 0 {
 		return 0
 	}
 	slots := float64(max(1, s.slots))
-	rank := s.rank(class)
-	own := s.flow(class)
-	fair := s.fairPart(rank, own)
-	before := 0.0
+	rank := s.rankOf(class)
+	own := s.flowOf(class)
+	fair := s.fairFraction(rank, own)
+	urgentBacklog := 0.0
 	for _, other := range s.ranks[:min(max(class.Rank, 0), len(s.ranks)-1)] {
-		before += other.backlog.Seconds()
+		urgentBacklog += other.backlog.Seconds()
 	}
-	inRank := min(rank.backlog.Seconds(), own.backlog.Seconds()/fair)
-	seconds := (before + inRank + s.mean) / slots
-	if rank.rate > 0 {
-		return time.Duration((inRank + s.cost(class).Seconds()) / rank.rate * float64(time.Second))
+	rankBacklog := min(rank.backlog.Seconds(), own.backlog.Seconds()/fair)
+	seconds := (urgentBacklog + rankBacklog + s.meanCost) / slots
+	if rank.serviceRate > 0 {
+		return time.Duration((rankBacklog + s.expectedCost(class).Seconds()) / rank.serviceRate * float64(time.Second))
 	}
 	if share := s.rankConfig(class.Rank).GuaranteedShare; share > 0 {
-		seconds = min(seconds, (inRank+s.mean)/(slots*share))
+		seconds = min(seconds, (rankBacklog+s.meanCost)/(slots*share))
 	}
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// fairPart returns the part of the rank's service that the flow gets while it has a backlog.
-func (s *Scheduler) fairPart(rank *rankState, own *flow) float64 {
+// fairFraction returns the fraction of the rank's service that the flow gets while it has a backlog.
+func (s *Scheduler) fairFraction(rank *rankState, own *flow) float64 {
 	sum := own.weight
 	for _, f := range rank.flows {
 		if f != own && len(f.queue) > 0 {
--- a/internal/scheduler/flow.go
+++ b/internal/scheduler/flow.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// flow is the queue and the account of one neighbour within one rank. Flows of a rank share by
-// start-time fair queueing (Goyal, Vin and Cheng, 1996) with slot-time as the cost.
+// flow is the queue and the slot-time account of one neighbour within one rank. The flows of a rank share it
+// by start-time fair queueing (Goyal, Vin and Cheng, 1996) with slot-time as the cost.
 type flow struct {
 	backlog   time.Duration
-	finish    float64
+	finishTag float64
 	neighbour string
 	queue     []*Waiter
-	start     float64
-	taken     time.Duration
+	startTag  float64
+	slotTime  time.Duration
 	weight    float64
 }
 
-func (f *flow) push(w *Waiter, virtual float64, cost time.Duration) {
+func (f *flow) push(w *Waiter, virtualTime float64, cost time.Duration) {
 	if len(f.queue) == 0 {
-		f.start = max(virtual, f.finish)
+		f.startTag = max(virtualTime, f.finishTag)
 	}
 	f.queue = append(f.queue, w)
 	f.backlog += cost
@@ -26,7 +26,7 @@
 	w := f.queue[0]
 	f.queue[0] = nil
 	f.queue = f.queue[1:]
-	f.shrink(cost)
+	f.subtractBacklog(cost)
 	return w
 }
 
@@ -36,38 +36,38 @@
 			continue
 		}
 		f.queue = append(f.queue[:i], f.queue[i+1:]...)
-		f.shrink(cost)
+		f.subtractBacklog(cost)
 		return true
 	}
 	return false
 }
 
-func (f *flow) shrink(cost time.Duration) {
+func (f *flow) subtractBacklog(cost time.Duration) {
 	f.backlog = max(0, f.backlog-cost)
 	if len(f.queue) == 0 {
 		f.backlog = 0
 	}
 }
 
-// charge books the start of a request and returns the start tag that it was served with. A request
-// that did not queue starts no earlier than the rank's virtual time.
-func (f *flow) charge(virtual float64, cost time.Duration, queued bool) float64 {
-	served := f.start
+// charge accounts for the start of a request and returns its start tag. The start tag of a request that was
+// not queued is at least the rank's virtual time.
+func (f *flow) charge(virtualTime float64, cost time.Duration, queued bool) float64 {
+	startTag := f.startTag
 	if !queued {
-		served = max(virtual, f.finish)
+		startTag = max(virtualTime, f.finishTag)
 	}
-	f.finish = served + cost.Seconds()/f.weight
-	f.start = f.finish
-	f.taken += cost
-	return served
+	f.finishTag = startTag + cost.Seconds()/f.weight
+	f.startTag = f.finishTag
+	f.slotTime += cost
+	return startTag
 }
 
-// correct books the difference between the true and the charged cost. Credit and debt are bounded,
-// so that a misjudged cost is not felt for ever.
-func (f *flow) correct(difference time.Duration, virtual float64) {
-	f.taken += difference
+// correct accounts for the difference between the actual and the charged cost. Credit and debt are bounded by
+// maxDebt, so that a wrong cost estimate has no lasting effect.
+func (f *flow) correct(difference time.Duration, virtualTime float64) {
+	f.slotTime += difference
 	bound := maxDebt.Seconds() / f.weight
-	f.finish += difference.Seconds() / f.weight
-	f.finish = min(max(f.finish, virtual-bound), virtual+bound)
-	f.start = f.finish
+	f.finishTag += difference.Seconds() / f.weight
+	f.finishTag = min(max(f.finishTag, virtualTime-bound), virtualTime+bound)
+	f.startTag = f.finishTag
 }
--- a/internal/scheduler/model_test.go
+++ b/internal/scheduler/model_test.go
@@ -14,7 +14,8 @@
 	seeder.Fix(1000, 60)
 }
 
-// machine drives a scheduler with random calls. The scheduler's own invariants are on.
+// machine calls a scheduler at random and tracks the waiters that are queued and running. The scheduler's own
+// invariants are checked too: a failed one panics.
 type machine struct {
 	now     time.Time
 	queued  []*Waiter
@@ -31,14 +32,14 @@
 }
 
 func (m *machine) submit(t *rapid.T) {
-	life := time.Duration(rapid.IntRange(1, 2000).Draw(t, "life")) * time.Millisecond
-	w := NewWaiter(m.now, drawClass(t), m.now.Add(life))
+	lifetime := time.Duration(rapid.IntRange(1, 2000).Draw(t, "life")) * time.Millisecond
+	w := NewWaiter(m.now, drawClass(t), m.now.Add(lifetime))
 	w.Reservation = rapid.Bool().Draw(t, "reservation")
 	queued, refusal := m.s.Submit(m.now, w)
 	switch {
 	case refusal != nil:
 		if !refusal.IsNotRun() || refusal.RetryAfter <= 0 {
-			t.Fatalf("a refusal says %s, retry after %s", refusal.NotRun, refusal.RetryAfter)
+			t.Fatalf("a refusal has not-run %s and retry-after %s", refusal.NotRun, refusal.RetryAfter)
 		}
 	case queued:
 		m.queued = append(m.queued, w)
@@ -47,7 +48,8 @@
 	}
 }
 
-func take(t *rapid.T, from *[]*Waiter) *Waiter {
+// popRandom removes a random waiter from the list and returns it, or nil if the list is empty.
+func popRandom(t *rapid.T, from *[]*Waiter) *Waiter {
 	if len(*from) == 0 {
 		return nil
 	}
@@ -58,37 +60,37 @@
 }
 
 func (m *machine) done(t *rapid.T) {
-	if w := take(t, &m.running); w != nil {
+	if w := popRandom(t, &m.running); w != nil {
 		m.s.Done(m.now, w, time.Duration(rapid.IntRange(0, 500).Draw(t, "used"))*time.Millisecond)
 	}
 }
 
 func (m *machine) release(t *rapid.T) {
-	if w := take(t, &m.running); w != nil {
+	if w := popRandom(t, &m.running); w != nil {
 		m.s.Release(m.now, w)
 	}
 }
 
 func (m *machine) rebind(t *rapid.T) {
 	if len(m.running) > 0 {
-		m.s.Rebind(m.running[0], drawClass(t))
+		m.s.Reclassify(m.running[0], drawClass(t))
 	}
 }
 
 func (m *machine) withdraw(t *rapid.T) {
-	if w := take(t, &m.queued); w != nil && !m.s.Withdraw(w) {
+	if w := popRandom(t, &m.queued); w != nil && !m.s.Withdraw(w) {
 		t.Fatalf("a queued waiter could not be withdrawn")
 	}
 }
 
-func (m *machine) pull(*rapid.T) {
-	w := m.s.Take(m.now, Binding{Grant: 1, Server: "n1"})
+func (m *machine) bindNext(*rapid.T) {
+	w := m.s.BindNext(m.now, Binding{Grant: 1, Server: "n1"})
 	if w != nil && w.Reservation {
-		panic("a reservation was taken")
+		panic("a reservation was bound")
 	}
 }
 
-func (m *machine) pass(t *rapid.T) {
+func (m *machine) advance(t *rapid.T) {
 	m.now = m.now.Add(time.Duration(rapid.IntRange(1, 300).Draw(t, "passed")) * time.Millisecond)
 	m.s.Sweep(m.now)
 }
@@ -102,23 +104,23 @@
 	m.s.Flush(refuser.New(refuser.ReasonDraining, "leaving"))
 }
 
-// check follows the verdicts and compares the counts.
-func (m *machine) check(t *rapid.T) {
-	var still []*Waiter
+// checkState applies the decisions on queued waiters and compares the counts with the scheduler's.
+func (m *machine) checkState(t *rapid.T) {
+	var remaining []*Waiter
 	for _, w := range m.queued {
 		select {
-		case v := <-w.Verdicts:
-			if v.Refusal == nil && !v.Taken {
+		case d := <-w.Decisions:
+			if d.Refusal == nil && !d.Bound {
 				m.running = append(m.running, w)
 			}
-			if len(w.Verdicts) > 0 {
-				t.Fatalf("a waiter got two verdicts")
+			if len(w.Decisions) > 0 {
+				t.Fatalf("a waiter got two decisions")
 			}
 		default:
-			still = append(still, w)
+			remaining = append(remaining, w)
 		}
 	}
-	m.queued = still
+	m.queued = remaining
 	if m.s.Running() != len(m.running) || m.s.Queued() != len(m.queued) {
 		t.Fatalf("%d running and %d queued, want %d and %d", m.s.Running(), m.s.Queued(), len(m.running), len(m.queued))
 	}
@@ -129,15 +131,17 @@
 	}
 }
 
+// TestSchedulerModel compares the scheduler with a model of its waiters under random calls. It guards against
+// lost or repeated decisions, wrong counts, and waiters that stay queued past their deadline.
 func TestSchedulerModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &machine{now: time.Unix(1000, 0), s: New(3, config()), slots: 3}
 		t.Repeat(map[string]func(*rapid.T){
-			"":         m.check,
+			"":         m.checkState,
 			"done":     m.done,
 			"flush":    m.flush,
-			"pass":     m.pass,
-			"pull":     m.pull,
+			"pass":     m.advance,
+			"pull":     m.bindNext,
 			"rebind":   m.rebind,
 			"release":  m.release,
 			"resize":   m.resize,
--- a/internal/scheduler/order.go
+++ b/internal/scheduler/order.go
@@ -6,7 +6,7 @@
 	"github.com/marigoldrelay/marigoldrelay/internal/refuser"
 )
 
-// dispatch hands free slots to queued waiters.
+// dispatch assigns free slots to queued waiters.
 func (s *Scheduler) dispatch(now time.Time) {
 	for s.running < s.slots && s.queued > 0 {
 		w := s.next(now, false)
@@ -14,46 +14,48 @@
 			return
 		}
 		s.start(w)
-		w.Verdicts <- Verdict{}
+		w.Decisions <- Decision{}
 	}
 }
 
-// next removes the waiter that rank and share entitle to be served. Waiters whose deadline can't be
-// met any more are refused on the way. It returns nil when none is left.
-func (s *Scheduler) next(now time.Time, callsOnly bool) *Waiter {
+// next removes the waiter that is next by rank and share from the queue. Waiters that can no longer meet their
+// deadline are refused on the way, and so are those whose answer would come too late if others are queued. It
+// returns nil when no waiter is left.
+func (s *Scheduler) next(now time.Time, requestsOnly bool) *Waiter {
 	for {
-		rank := s.nextRank(callsOnly)
+		rank := s.nextRank(requestsOnly)
 		if rank == nil {
 			return nil
 		}
-		f := rank.nextFlow(callsOnly)
-		w := s.popFrom(rank, f, callsOnly)
-		if w.isLate(now) && s.queued > 0 {
+		f := rank.nextFlow(requestsOnly)
+		w := s.dequeue(rank, f, requestsOnly)
+		if w.isTooLate(now) && s.queued > 0 {
 			w.phase = phaseRefused
-			w.Verdicts <- Verdict{Refusal: s.tooLate(w)}
+			w.Decisions <- Decision{Refusal: s.tooLateRefusal(w)}
 			continue
 		}
 		if w.Reservation || !now.Add(minCost).After(w.Deadline) {
 			return w
 		}
 		w.phase = phaseRefused
-		w.Verdicts <- Verdict{Refusal: refuser.Later(refuser.ReasonDeadline, s.retryAfter(w.Class, 0), "the deadline passed in the queue")}
+		w.Decisions <- Decision{Refusal: refuser.Later(refuser.ReasonDeadline, s.retryAfter(w.Class, 0), "the deadline passed in the queue")}
 	}
 }
 
-func (s *Scheduler) popFrom(rank *rankState, f *flow, callsOnly bool) *Waiter {
-	w := f.first(callsOnly)
+// dequeue removes the first waiter, or the first request, from the flow.
+func (s *Scheduler) dequeue(rank *rankState, f *flow, requestsOnly bool) *Waiter {
+	w := f.firstWaiter(requestsOnly)
 	cost := w.charged
 	if f.queue[0] == w {
 		f.pop(cost)
 	} else {
 		f.remove(w, cost)
 	}
-	s.unqueue(rank, cost)
+	s.subtractQueued(rank, cost)
 	return w
 }
 
-func (s *Scheduler) unqueue(rank *rankState, cost time.Duration) {
+func (s *Scheduler) subtractQueued(rank *rankState, cost time.Duration) {
 	rank.queued--
 	rank.backlog = max(0, rank.backlog-cost)
 	if rank.queued == 0 {
@@ -62,49 +64,50 @@
 	s.queued--
 }
 
-// nextRank returns the most urgent rank that has credit, or else the most urgent with a backlog.
-func (s *Scheduler) nextRank(callsOnly bool) *rankState {
-	var first *rankState
+// nextRank returns the most urgent rank with a backlog and credit, or else the most urgent one with a backlog.
+func (s *Scheduler) nextRank(requestsOnly bool) *rankState {
+	var mostUrgent *rankState
 	for _, rank := range s.ranks {
-		if rank.queued == 0 || (callsOnly && !rank.hasCall()) {
+		if rank.queued == 0 || (requestsOnly && !rank.hasRequest()) {
 			continue
 		}
 		if rank.credit > 0 {
 			return rank
 		}
-		if first == nil {
-			first = rank
+		if mostUrgent == nil {
+			mostUrgent = rank
 		}
 	}
-	return first
+	return mostUrgent
 }
 
-func (r *rankState) hasCall() bool {
+func (r *rankState) hasRequest() bool {
 	for _, f := range r.flows {
-		if f.first(true) != nil {
+		if f.firstWaiter(true) != nil {
 			return true
 		}
 	}
 	return false
 }
 
-// nextFlow returns the flow with the smallest start tag; the name breaks ties.
-func (r *rankState) nextFlow(callsOnly bool) *flow {
+// nextFlow returns the flow with the smallest start tag; ties are broken by the neighbour's name.
+func (r *rankState) nextFlow(requestsOnly bool) *flow {
 	var best *flow
 	for _, f := range r.flows {
-		if f.first(callsOnly) == nil {
+		if f.firstWaiter(requestsOnly) == nil {
 			continue
 		}
-		if best == nil || f.start < best.start || (f.start == best.start && f.neighbour < best.neighbour) {
+		if best == nil || f.startTag < best.startTag || (f.startTag == best.startTag && f.neighbour < best.neighbour) {
 			best = f
 		}
 	}
 	return best
 }
 
-func (f *flow) first(callsOnly bool) *Waiter {
+// firstWaiter returns the first waiter that is not skipped, or nil; requestsOnly skips reservations.
+func (f *flow) firstWaiter(requestsOnly bool) *Waiter {
 	for _, w := range f.queue {
-		if !callsOnly || !w.Reservation {
+		if !requestsOnly || !w.Reservation {
 			return w
 		}
 	}
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -1,6 +1,7 @@
-// Package scheduler decides which request gets the next slot of one upstream. It keeps an account
-// of slot-time for each rank and neighbour. It holds no locks and starts no goroutines: its owner
-// serialises the calls and passes the time in.
+// Package scheduler decides which request gets the next slot of one upstream. A slot is the capacity to
+// run one request; the cost of a request is its slot-time, the time for which it occupies a slot. The
+// scheduler accounts for the slot-time of each rank and neighbour. It uses no locks and starts no
+// goroutines: the owner serialises the calls and passes the current time.
 package scheduler
 
 import (
@@ -12,67 +13,75 @@
 )
 
 const (
-	costSmoothing  = 0.1
-	creditWindow   = 200 * time.Millisecond
-	defaultCost    = 10 * time.Millisecond
-	defaultMaxWait = time.Second
-	maxDebt        = 5 * time.Second
-	maxQueue       = 20000
-	minCost        = 10 * time.Microsecond
-	minRetryAfter  = 100 * time.Millisecond
+	costSmoothing     = 0.1
+	creditWindow      = 200 * time.Millisecond
+	defaultCost       = 10 * time.Millisecond
+	defaultTargetWait = time.Second
+	maxDebt           = 5 * time.Second
+	maxQueued         = 20000
+	minCost           = 10 * time.Microsecond
+	minRetryAfter     = 100 * time.Millisecond
 )
 
-// Rank configures one rank.
+// Rank is the configuration of one rank, a level of urgency.
 type Rank struct {
-	// GuaranteedShare is the part of the slot-time that the rank can claim, from 0 to 1.
+	// GuaranteedShare is the fraction of the slot-time that the rank is entitled to, from 0 to 1.
 	GuaranteedShare float64
-	// TargetWait bounds the expected wait of an accepted request.
+	// TargetWait is the longest expected wait with which a request is accepted, if its UsefulUntil is not
+	// known.
 	TargetWait time.Duration
 }
 
-// Config is the part of the document that the scheduler follows.
+// Config is the part of the configuration document that the scheduler uses.
 type Config struct {
-	// Ranks are listed from the most to the least urgent.
+	// Ranks holds the ranks from the most to the least urgent.
 	Ranks []Rank
-	// Weights maps each neighbour to its weight; a missing one counts as 1.
+	// Weights maps each neighbour to its weight. A missing weight, or one that is not above 0, counts as 1.
 	Weights map[string]float64
 }
 
-// Scheduler queues requests for one upstream.
+// Scheduler assigns the slots of one upstream and queues the requests that wait for one. It is not safe for
+// concurrent use.
 type Scheduler struct {
-	config  Config
-	costs   map[Class]float64
-	mean    float64
-	pause   time.Duration
-	queued  int
-	ranks   []*rankState
-	rolled  time.Time
-	running int
-	slots   int
-	total   time.Duration
+	config        Config
+	costs         map[Class]float64
+	meanCost      float64
+	expectedStall time.Duration
+	queued        int
+	ranks         []*rankState
+	ratesUpdated  time.Time
+	running       int
+	slots         int
+	totalSlotTime time.Duration
 }
 
+// rankState is the queue and the slot-time account of one rank.
 type rankState struct {
+	// backlog is the expected slot-time of the queued requests.
 	backlog time.Duration
-	credit  time.Duration
-	flows   map[string]*flow
-	queued  int
-	// rate is the slot-time a second that the rank got of late; zero where it is not known.
-	rate         float64
-	rolledQueued bool
-	rolledTaken  time.Duration
-	taken        time.Duration
-	virtual      float64
+	// credit is the slot-time that the rank can still claim from its guaranteed share; negative in debt.
+	credit time.Duration
+	flows  map[string]*flow
+	queued int
+	// serviceRate is the slot-time per second that the rank has recently been given; zero where it is not
+	// known.
+	serviceRate float64
+	// wasBacklogged and slotTimeAtUpdate are the values at the last update of serviceRate.
+	wasBacklogged    bool
+	slotTimeAtUpdate time.Duration
+	slotTime         time.Duration
+	// virtualTime is the virtual time of start-time fair queueing, in seconds of slot-time per unit of weight.
+	virtualTime float64
 }
 
 // New returns a scheduler for an upstream with the given number of slots.
 func New(slots int, config Config) *Scheduler {
-	s := &Scheduler{costs: make(map[Class]float64), mean: defaultCost.Seconds(), slots: slots}
+	s := &Scheduler{costs: make(map[Class]float64), meanCost: defaultCost.Seconds(), slots: slots}
 	s.Configure(config)
 	return s
 }
 
-// Configure puts a new configuration in force. Queued requests keep their rank's position.
+// Configure applies a new configuration. Queued requests stay at the position of their rank in the list.
 func (s *Scheduler) Configure(config Config) {
 	s.config = config
 	for len(s.ranks) < max(1, len(config.Ranks)) {
@@ -80,12 +89,12 @@
 	}
 	for _, rank := range s.ranks {
 		for _, f := range rank.flows {
-			f.weight = s.weight(f.neighbour)
+			f.weight = s.weightOf(f.neighbour)
 		}
 	}
 }
 
-func (s *Scheduler) weight(neighbour string) float64 {
+func (s *Scheduler) weightOf(neighbour string) float64 {
 	if weight, ok := s.config.Weights[neighbour]; ok && weight > 0 {
 		return weight
 	}
@@ -96,34 +105,35 @@
 	if rank < len(s.config.Ranks) {
 		return s.config.Ranks[rank]
 	}
-	return Rank{TargetWait: defaultMaxWait}
+	return Rank{TargetWait: defaultTargetWait}
 }
 
-func (s *Scheduler) rank(class Class) *rankState {
+func (s *Scheduler) rankOf(class Class) *rankState {
 	index := min(max(class.Rank, 0), len(s.ranks)-1)
 	return s.ranks[index]
 }
 
-func (s *Scheduler) flow(class Class) *flow {
-	rank := s.rank(class)
+func (s *Scheduler) flowOf(class Class) *flow {
+	rank := s.rankOf(class)
 	f, ok := rank.flows[class.Neighbour]
 	if !ok {
-		f = &flow{neighbour: class.Neighbour, weight: s.weight(class.Neighbour)}
+		f = &flow{neighbour: class.Neighbour, weight: s.weightOf(class.Neighbour)}
 		rank.flows[class.Neighbour] = f
 	}
 	return f
 }
 
-// cost returns the expected slot-time of a request of the class.
-func (s *Scheduler) cost(class Class) time.Duration {
+// expectedCost returns the expected slot-time of a request of the class: the smoothed mean of the class, or of
+// all requests if the class is new, and at least minCost.
+func (s *Scheduler) expectedCost(class Class) time.Duration {
 	seconds, ok := s.costs[class]
 	if !ok {
-		seconds = s.mean
+		seconds = s.meanCost
 	}
 	return max(minCost, time.Duration(seconds*float64(time.Second)))
 }
 
-// TryRun takes a free slot for w. It reports false, and changes nothing, when there is none.
+// TryRun gives w a free slot. It reports false and changes nothing if no slot is free or others are queued.
 func (s *Scheduler) TryRun(w *Waiter) bool {
 	if s.running >= s.slots || s.queued > 0 {
 		return false
@@ -132,59 +142,59 @@
 	return true
 }
 
-// Submit starts w, queues it or refuses it at once. A nil refusal with queued false means that w
-// has a slot; a queued waiter gets its verdict later.
+// Submit starts w, queues it or refuses it at once. If queued is false and the refusal is nil, w has a slot.
+// A queued waiter gets its decision later on Decisions.
 func (s *Scheduler) Submit(now time.Time, w *Waiter) (queued bool, refusal *refuser.Refusal) {
-	s.roll(now)
+	s.updateRates(now)
 	if s.TryRun(w) {
 		return false, nil
 	}
-	if refusal := s.refuse(now, w); refusal != nil {
+	if refusal := s.admissionRefusal(now, w); refusal != nil {
 		w.phase = phaseRefused
 		return false, refusal
 	}
 	s.enqueue(w)
 	s.dispatch(now)
-	s.check()
+	s.checkInvariants()
 	return true, nil
 }
 
 func (s *Scheduler) enqueue(w *Waiter) {
-	w.Verdicts = make(chan Verdict, 1)
+	w.Decisions = make(chan Decision, 1)
 	w.phase = phaseQueued
 	if !w.Reservation {
-		// What a reservation brings waits in the queue of its home and is counted there.
-		w.charged = s.cost(w.Class)
+		// The request behind a reservation is queued at its home, and its cost is counted there.
+		w.charged = s.expectedCost(w.Class)
 	}
-	rank := s.rank(w.Class)
-	s.flow(w.Class).push(w, rank.virtual, w.charged)
+	rank := s.rankOf(w.Class)
+	s.flowOf(w.Class).push(w, rank.virtualTime, w.charged)
 	rank.backlog += w.charged
 	rank.queued++
 	s.queued++
 }
 
-// start gives w a slot.
+// start gives w a slot and charges the expected cost.
 func (s *Scheduler) start(w *Waiter) {
 	s.running++
 	s.charge(w)
 	w.phase = phaseRunning
 }
 
-// Done returns the slot of a running waiter that used it for the given time.
+// Done frees the slot of a running waiter that used it for the given time, and corrects the charge.
 func (s *Scheduler) Done(now time.Time, w *Waiter, used time.Duration) {
 	if !asserter.That(w.phase == phaseRunning, "scheduler-done-once", "phase %d", w.phase) {
 		return
 	}
 	w.phase = phaseDone
 	s.running--
-	s.roll(now)
-	s.learn(w.Class, used)
+	s.updateRates(now)
+	s.updateCost(w.Class, used)
 	s.correct(w.Class, used-w.charged)
 	s.dispatch(now)
-	s.check()
+	s.checkInvariants()
 }
 
-// Release returns the slot of a running waiter that did not use it, and takes back the charge.
+// Release frees the slot of a running waiter that did not use it, and reverts the charge.
 func (s *Scheduler) Release(now time.Time, w *Waiter) {
 	if !asserter.That(w.phase == phaseRunning, "scheduler-release-once", "phase %d", w.phase) {
 		return
@@ -193,11 +203,11 @@
 	s.running--
 	s.correct(w.Class, -w.charged)
 	s.dispatch(now)
-	s.check()
+	s.checkInvariants()
 }
 
-// Rebind books a running reservation under the class of the request that it got.
-func (s *Scheduler) Rebind(w *Waiter, class Class) {
+// Reclassify moves the charge of a running reservation to the class of the request that it pulled.
+func (s *Scheduler) Reclassify(w *Waiter, class Class) {
 	if w.Class == class {
 		return
 	}
@@ -206,83 +216,83 @@
 	s.charge(w)
 }
 
-// Take removes the request that is entitled to be served next, so that its owner can bind it to
-// another server. It returns nil when no request waits.
-func (s *Scheduler) Take(now time.Time, binding Binding) *Waiter {
+// BindNext removes the request that is next in order from the queue and binds it to a slot of another server.
+// It returns nil if no request is queued; reservations are not bound.
+func (s *Scheduler) BindNext(now time.Time, binding Binding) *Waiter {
 	w := s.next(now, true)
 	if w == nil {
 		return nil
 	}
 	s.charge(w)
-	w.phase = phaseTaken
-	w.Verdicts <- Verdict{Binding: binding, Taken: true}
-	s.check()
+	w.phase = phaseBound
+	w.Decisions <- Decision{Binding: binding, Bound: true}
+	s.checkInvariants()
 	return w
 }
 
-// Withdraw removes a queued waiter without a verdict. It reports false when w is not queued.
+// Withdraw removes a queued waiter without a decision. It reports false if w is not queued.
 func (s *Scheduler) Withdraw(w *Waiter) bool {
 	if w.phase != phaseQueued {
 		return false
 	}
-	if !s.flow(w.Class).remove(w, w.charged) {
+	if !s.flowOf(w.Class).remove(w, w.charged) {
 		return false
 	}
-	s.unqueue(s.rank(w.Class), w.charged)
+	s.subtractQueued(s.rankOf(w.Class), w.charged)
 	w.phase = phaseRefused
-	s.check()
+	s.checkInvariants()
 	return true
 }
 
-// SetSlots changes the number of slots. Running requests above a smaller number finish.
+// SetSlots changes the number of slots. If it becomes smaller, the running requests still finish.
 func (s *Scheduler) SetSlots(now time.Time, slots int) {
 	s.slots = max(0, slots)
 	s.dispatch(now)
-	s.check()
+	s.checkInvariants()
 }
 
-// Sweep refuses at once every queued request whose deadline has passed, and those that are too late
-// while others wait.
+// Sweep refuses every queued waiter whose deadline has passed, and those whose answer would come too late if
+// others are queued.
 func (s *Scheduler) Sweep(now time.Time) {
 	for _, rank := range s.ranks {
 		for _, f := range rank.flows {
 			s.sweepFlow(now, f)
 		}
 	}
-	s.check()
+	s.checkInvariants()
 }
 
 func (s *Scheduler) sweepFlow(now time.Time, f *flow) {
 	for _, w := range append([]*Waiter(nil), f.queue...) {
-		if w.isLate(now) && now.Before(w.Deadline) && s.queued > 1 && s.Withdraw(w) {
-			w.Verdicts <- Verdict{Refusal: s.tooLate(w)}
+		if w.isTooLate(now) && now.Before(w.Deadline) && s.queued > 1 && s.Withdraw(w) {
+			w.Decisions <- Decision{Refusal: s.tooLateRefusal(w)}
 			continue
 		}
 		if now.Before(w.Deadline) || !s.Withdraw(w) {
 			continue
 		}
-		w.Verdicts <- Verdict{Refusal: refuser.Later(refuser.ReasonDeadline, s.retryAfter(w.Class, 0), "the deadline passed in the queue")}
+		w.Decisions <- Decision{Refusal: refuser.Later(refuser.ReasonDeadline, s.retryAfter(w.Class, 0), "the deadline passed in the queue")}
 	}
 }
 
-func (s *Scheduler) tooLate(w *Waiter) *refuser.Refusal {
+func (s *Scheduler) tooLateRefusal(w *Waiter) *refuser.Refusal {
 	return refuser.Later(refuser.ReasonQueueFull, s.retryAfter(w.Class, 0), "the wait was longer than expected and others are in time")
 }
 
-// Flush gives every queued waiter the refusal. Running requests go on.
+// Flush refuses every queued waiter with the given refusal. Running requests continue.
 func (s *Scheduler) Flush(refusal *refuser.Refusal) {
 	for _, rank := range s.ranks {
 		for _, f := range rank.flows {
 			for len(f.queue) > 0 {
 				w := f.queue[0]
 				f.pop(w.charged)
-				s.unqueue(rank, w.charged)
+				s.subtractQueued(rank, w.charged)
 				w.phase = phaseRefused
-				w.Verdicts <- Verdict{Refusal: refusal}
+				w.Decisions <- Decision{Refusal: refusal}
 			}
 		}
 	}
-	s.check()
+	s.checkInvariants()
 }
 
 // Slots returns the number of slots.
@@ -295,16 +305,16 @@
 	return s.running
 }
 
-// Queued returns the number of waiters in the queue.
+// Queued returns the number of queued waiters, reservations included.
 func (s *Scheduler) Queued() int {
 	return s.queued
 }
 
-// check asserts what must hold between any two calls.
-func (s *Scheduler) check() {
+// checkInvariants asserts what must hold between any two calls.
+func (s *Scheduler) checkInvariants() {
 	asserter.That(s.running >= 0, "scheduler-running", "%d running", s.running)
 	asserter.That(s.queued >= 0, "scheduler-queued", "%d queued", s.queued)
-	idle := s.queued > 0 && s.running < s.slots
-	asserter.That(!idle, "scheduler-work-conserving", "%d queued with %d of %d slots", s.queued, s.running, s.slots)
-	asserter.That(!math.IsNaN(s.mean), "scheduler-mean", "mean cost is not a number")
+	hasIdleSlot := s.queued > 0 && s.running < s.slots
+	asserter.That(!hasIdleSlot, "scheduler-work-conserving", "%d queued with %d of %d slots", s.queued, s.running, s.slots)
+	asserter.That(!math.IsNaN(s.meanCost), "scheduler-mean", "mean cost is not a number")
 }
--- a/internal/scheduler/shares_test.go
+++ b/internal/scheduler/shares_test.go
@@ -6,12 +6,12 @@
 )
 
 const (
-	simSlots = 12
-	mean     = 10 * time.Millisecond
-	warm     = 2 * time.Second
-	length   = 12 * time.Second
-	// capacity is in requests of mean slot-time a second.
-	capacity = float64(simSlots) * float64(time.Second) / float64(mean)
+	simSlots     = 12
+	meanSlotTime = 10 * time.Millisecond
+	warmUp       = 2 * time.Second
+	length       = 12 * time.Second
+	// capacity is the number of requests of mean slot-time that the slots can serve per second.
+	capacity = float64(simSlots) * float64(time.Second) / float64(meanSlotTime)
 	seed     = 7
 )
 
@@ -27,44 +27,46 @@
 	}
 }
 
-// part returns the slot-time of an outcome as a part of what the slots can give.
-func part(o outcome) float64 {
-	return o.slotTime.Seconds() / ((length - warm).Seconds() * simSlots)
+// slotTimeFraction returns the slot-time of a source as a fraction of what all slots provide in the measured
+// window.
+func slotTimeFraction(o sourceResult) float64 {
+	return o.slotTime.Seconds() / ((length - warmUp).Seconds() * simSlots)
 }
 
-func TestFloodOfLeastUrgentLeavesMostUrgent(t *testing.T) {
-	urgent := source{class: Class{Rank: 0, Neighbour: "a"}, mean: mean, perSecond: 0.25 * capacity}
-	flood := source{class: Class{Rank: 3, Neighbour: "b"}, mean: mean, perSecond: 3 * capacity}
-	quiet := simulate(t, config(), simSlots, seed, warm, length, []source{urgent})
-	flooded := simulate(t, config(), simSlots, seed, warm, length, []source{urgent, flood})
-	before, after := quiet[0].waitQuantile(0.99), flooded[0].waitQuantile(0.99)
-	t.Logf("p99 quiet %s, in the flood %s; useful work %.3f", before, after, part(flooded[0])+part(flooded[1]))
+func TestFloodOfLeastUrgentSparesMostUrgent(t *testing.T) {
+	urgent := source{class: Class{Rank: 0, Neighbour: "a"}, meanSlotTime: meanSlotTime, perSecond: 0.25 * capacity}
+	flood := source{class: Class{Rank: 3, Neighbour: "b"}, meanSlotTime: meanSlotTime, perSecond: 3 * capacity}
+	withoutFlood := simulate(t, config(), simSlots, seed, warmUp, length, []source{urgent})
+	withFlood := simulate(t, config(), simSlots, seed, warmUp, length, []source{urgent, flood})
+	before, after := withoutFlood[0].latencyQuantile(0.99), withFlood[0].latencyQuantile(0.99)
+	t.Logf("p99 without flood %s, with flood %s; useful work %.3f",
+		before, after, slotTimeFraction(withFlood[0])+slotTimeFraction(withFlood[1]))
 	if float64(after) > 1.2*float64(before) {
-		t.Errorf("p99 of the most urgent rank is %s in the flood, want at most 1.2 times %s", after, before)
+		t.Errorf("p99 of the most urgent rank is %s with the flood, want at most 1.2 times %s", after, before)
 	}
-	if flooded[0].refused > 0 {
-		t.Errorf("%d of the most urgent rank were refused", flooded[0].refused)
+	if withFlood[0].refused > 0 {
+		t.Errorf("%d of the most urgent rank were refused", withFlood[0].refused)
 	}
-	if work := part(flooded[0]) + part(flooded[1]); work < 0.95 {
+	if work := slotTimeFraction(withFlood[0]) + slotTimeFraction(withFlood[1]); work < 0.95 {
 		t.Errorf("useful work is %.3f of capacity, want at least 0.95", work)
 	}
 }
 
 func TestFloodOfMostUrgentLeavesGuaranteedShares(t *testing.T) {
 	sources := []source{
-		{class: Class{Rank: 0, Neighbour: "a"}, mean: mean, perSecond: 3 * capacity},
-		{class: Class{Rank: 1, Neighbour: "b"}, mean: mean, perSecond: capacity},
-		{class: Class{Rank: 2, Neighbour: "b"}, mean: mean, perSecond: capacity},
-		{class: Class{Rank: 3, Neighbour: "b"}, mean: mean, perSecond: capacity},
+		{class: Class{Rank: 0, Neighbour: "a"}, meanSlotTime: meanSlotTime, perSecond: 3 * capacity},
+		{class: Class{Rank: 1, Neighbour: "b"}, meanSlotTime: meanSlotTime, perSecond: capacity},
+		{class: Class{Rank: 2, Neighbour: "b"}, meanSlotTime: meanSlotTime, perSecond: capacity},
+		{class: Class{Rank: 3, Neighbour: "b"}, meanSlotTime: meanSlotTime, perSecond: capacity},
 	}
-	outcomes := simulate(t, config(), simSlots, seed, warm, length, sources)
+	results := simulate(t, config(), simSlots, seed, warmUp, length, sources)
 	total := 0.0
-	for rank, o := range outcomes {
+	for rank, o := range results {
 		share := config().Ranks[rank].GuaranteedShare
-		total += part(o)
-		t.Logf("rank %d got %.3f, guaranteed %.2f", rank, part(o), share)
-		if part(o) < 0.95*share {
-			t.Errorf("rank %d got %.3f of the capacity, want 95%% of %.2f", rank, part(o), share)
+		total += slotTimeFraction(o)
+		t.Logf("rank %d got %.3f, guaranteed %.2f", rank, slotTimeFraction(o), share)
+		if slotTimeFraction(o) < 0.95*share {
+			t.Errorf("rank %d got %.3f of the capacity, want 95%% of %.2f", rank, slotTimeFraction(o), share)
 		}
 	}
 	if total < 0.95 {
@@ -75,25 +77,25 @@
 func TestNeighboursOfEqualWeightShareEqually(t *testing.T) {
 	tests := map[string][]source{
 		"one offers five times as much": {
-			{class: Class{Rank: 1, Neighbour: "a"}, mean: mean, perSecond: 5 * capacity},
-			{class: Class{Rank: 1, Neighbour: "b"}, mean: mean, perSecond: capacity},
+			{class: Class{Rank: 1, Neighbour: "a"}, meanSlotTime: meanSlotTime, perSecond: 5 * capacity},
+			{class: Class{Rank: 1, Neighbour: "b"}, meanSlotTime: meanSlotTime, perSecond: capacity},
 		},
 		"one sends only expensive requests": {
-			{class: Class{Rank: 1, Neighbour: "a"}, mean: 20 * mean, perSecond: 0.2 * capacity},
-			{class: Class{Rank: 1, Neighbour: "b"}, mean: mean, perSecond: 2 * capacity},
+			{class: Class{Rank: 1, Neighbour: "a"}, meanSlotTime: 20 * meanSlotTime, perSecond: 0.2 * capacity},
+			{class: Class{Rank: 1, Neighbour: "b"}, meanSlotTime: meanSlotTime, perSecond: 2 * capacity},
 		},
 		"short, middling and long": {
-			{class: Class{Rank: 1, Neighbour: "a"}, mean: mean / 5, perSecond: 8 * capacity},
-			{class: Class{Rank: 1, Neighbour: "b"}, mean: mean, perSecond: capacity},
-			{class: Class{Rank: 1, Neighbour: "c"}, mean: 5 * mean, perSecond: 0.5 * capacity},
+			{class: Class{Rank: 1, Neighbour: "a"}, meanSlotTime: meanSlotTime / 5, perSecond: 8 * capacity},
+			{class: Class{Rank: 1, Neighbour: "b"}, meanSlotTime: meanSlotTime, perSecond: capacity},
+			{class: Class{Rank: 1, Neighbour: "c"}, meanSlotTime: 5 * meanSlotTime, perSecond: 0.5 * capacity},
 		},
 	}
 	for name, sources := range tests {
 		t.Run(name, func(t *testing.T) {
-			outcomes := simulate(t, config(), simSlots, seed, warm, length, sources)
+			results := simulate(t, config(), simSlots, seed, warmUp, length, sources)
 			least, most, total := 1.0, 0.0, 0.0
-			for _, o := range outcomes {
-				least, most, total = min(least, part(o)), max(most, part(o)), total+part(o)
+			for _, o := range results {
+				least, most, total = min(least, slotTimeFraction(o)), max(most, slotTimeFraction(o)), total+slotTimeFraction(o)
 			}
 			t.Logf("least %.3f most %.3f of capacity, useful work %.3f", least, most, total)
 			if most > 1.05*least {
@@ -106,43 +108,43 @@
 	}
 }
 
-func TestIdleShareIsLentAndComesBack(t *testing.T) {
+func TestIdleShareIsLentAndReturned(t *testing.T) {
 	sources := []source{
-		{class: Class{Rank: 3, Neighbour: "b"}, mean: mean, perSecond: 3 * capacity},
-		{class: Class{Rank: 0, Neighbour: "a"}, mean: mean, perSecond: 0.25 * capacity, from: 6 * time.Second},
+		{class: Class{Rank: 3, Neighbour: "b"}, meanSlotTime: meanSlotTime, perSecond: 3 * capacity},
+		{class: Class{Rank: 0, Neighbour: "a"}, meanSlotTime: meanSlotTime, perSecond: 0.25 * capacity, from: 6 * time.Second},
 	}
-	lent := simulate(t, config(), simSlots, seed, warm, 6*time.Second, sources[:1])
+	lent := simulate(t, config(), simSlots, seed, warmUp, 6*time.Second, sources[:1])
 	got := lent[0].slotTime.Seconds() / (4 * simSlots)
 	t.Logf("the only rank with demand got %.3f of capacity", got)
 	if got < 0.95 {
 		t.Errorf("the only rank with demand got %.3f of capacity, want at least 0.95", got)
 	}
-	back := simulate(t, config(), simSlots, seed, warm, length, sources)
-	first := back[1].waits[0]
-	p99 := back[1].waitQuantile(0.99)
+	back := simulate(t, config(), simSlots, seed, warmUp, length, sources)
+	first := back[1].latencies[0]
+	p99 := back[1].latencyQuantile(0.99)
 	t.Logf("the owner's first request took %s, p99 %s", first, p99)
-	if p99 > 12*mean {
-		t.Errorf("the owner's p99 is %s after the share came back", p99)
+	if p99 > 12*meanSlotTime {
+		t.Errorf("the owner's p99 is %s after the share was returned", p99)
 	}
 }
 
-// TestGoodputUnderOverload offers up to 10 times the capacity. What is answered in time must not
-// fall below 95% of its peak.
+// TestGoodputUnderOverload offers up to 10 times the capacity. The slot-time of served requests must not fall
+// below 95% of its peak as the load rises.
 func TestGoodputUnderOverload(t *testing.T) {
 	peak := 0.0
 	for _, times := range []float64{1, 2, 5, 10} {
 		sources := []source{
-			{class: Class{Rank: 0, Neighbour: "a"}, mean: mean, perSecond: 0.2 * times * capacity},
-			{class: Class{Rank: 1, Neighbour: "b"}, mean: mean, perSecond: 0.4 * times * capacity},
-			{class: Class{Rank: 3, Neighbour: "b"}, mean: mean, perSecond: 0.4 * times * capacity},
+			{class: Class{Rank: 0, Neighbour: "a"}, meanSlotTime: meanSlotTime, perSecond: 0.2 * times * capacity},
+			{class: Class{Rank: 1, Neighbour: "b"}, meanSlotTime: meanSlotTime, perSecond: 0.4 * times * capacity},
+			{class: Class{Rank: 3, Neighbour: "b"}, meanSlotTime: meanSlotTime, perSecond: 0.4 * times * capacity},
 		}
 		goodput, refused, late := 0.0, 0, 0
-		for rank, o := range simulate(t, config(), simSlots, seed, warm, length, sources) {
-			goodput += part(o)
+		for rank, o := range simulate(t, config(), simSlots, seed, warmUp, length, sources) {
+			goodput += slotTimeFraction(o)
 			refused += o.refused
-			limit := config().Ranks[sources[rank].class.Rank].TargetWait + 20*mean
-			for _, wait := range o.waits {
-				if wait > limit {
+			limit := config().Ranks[sources[rank].class.Rank].TargetWait + 20*meanSlotTime
+			for _, latency := range o.latencies {
+				if latency > limit {
 					late++
 				}
 			}
@@ -155,17 +157,18 @@
 	}
 }
 
-// TestCallsBelowAFlood floods one upstream with long requests of the lower rank while other upstreams make
-// short calls that can't come back later. Those calls decide whether their parents count.
-func TestCallsBelowAFlood(t *testing.T) {
+// TestNestedCallsDuringFlood floods one upstream with long requests of a less urgent rank while other upstreams
+// make short, urgent calls that can't be retried later. At least 95% of these calls must be served, because
+// their parent requests depend on them.
+func TestNestedCallsDuringFlood(t *testing.T) {
 	const slots, want = 9, 0.95
 	calls := source{
-		class: Class{Rank: 0, Neighbour: "positions"}, mean: 30 * time.Millisecond, perSecond: 40,
-		deadline: 200 * time.Millisecond, useful: 150 * time.Millisecond,
+		class: Class{Rank: 0, Neighbour: "positions"}, meanSlotTime: 30 * time.Millisecond, perSecond: 40,
+		deadline: 200 * time.Millisecond, usefulFor: 150 * time.Millisecond,
 	}
 	flood := source{
-		class: Class{Rank: 1, Neighbour: "positions"}, mean: 300 * time.Millisecond, perSecond: 60,
-		deadline: 1500 * time.Millisecond, useful: 500 * time.Millisecond,
+		class: Class{Rank: 1, Neighbour: "positions"}, meanSlotTime: 300 * time.Millisecond, perSecond: 60,
+		deadline: 1500 * time.Millisecond, usefulFor: 500 * time.Millisecond,
 	}
 	config := Config{Ranks: []Rank{{TargetWait: 40 * time.Millisecond}, {TargetWait: 400 * time.Millisecond}}}
 	got := simulate(t, config, slots, seed, time.Second, 20*time.Second, []source{calls, flood})
--- a/internal/scheduler/simulation_test.go
+++ b/internal/scheduler/simulation_test.go
@@ -11,26 +11,27 @@
 // source sends requests of one class.
 type source struct {
 	class Class
-	// mean is the mean slot-time of a request, distributed exponentially.
-	mean time.Duration
-	// perSecond is the rate of arrivals; from and until bound them in time.
+	// meanSlotTime is the mean slot-time of a request; slot-times are distributed exponentially.
+	meanSlotTime time.Duration
+	// perSecond is the arrival rate. Requests arrive between from and until; until is the end of the
+	// simulation if zero.
 	perSecond   float64
 	from, until time.Duration
-	// deadline is that of each request; zero stands for a long one. useful is the wait after which its
-	// answer would come too late; zero where that does not matter.
-	deadline, useful time.Duration
+	// deadline is the time from arrival to deadline; zero stands for 10 s. usefulFor is the wait after which
+	// the answer would come too late; zero if there is no such limit.
+	deadline, usefulFor time.Duration
 }
 
-// outcome is what one source got.
-type outcome struct {
+// sourceResult is the result of one source in the measured window, except refused, which counts all refusals.
+type sourceResult struct {
 	answered, refused int
 	slotTime          time.Duration
-	waits             []time.Duration
+	latencies         []time.Duration
 }
 
-func (o *outcome) waitQuantile(q float64) time.Duration {
-	slices.Sort(o.waits)
-	return o.waits[min(len(o.waits)-1, int(q*float64(len(o.waits))))]
+func (o *sourceResult) latencyQuantile(q float64) time.Duration {
+	slices.Sort(o.latencies)
+	return o.latencies[min(len(o.latencies)-1, int(q*float64(len(o.latencies))))]
 }
 
 type event struct {
@@ -51,32 +52,34 @@
 	return last
 }
 
-// simulation runs a scheduler in virtual time with one upstream.
+// simulation runs a scheduler with one upstream in virtual time.
 type simulation struct {
-	begin    time.Time
-	events   events
-	length   time.Duration
-	measured time.Duration
-	now      time.Time
-	outcomes []outcome
-	queued   map[*Waiter]func(Verdict)
-	random   *rand.Rand
-	s        *Scheduler
+	begin       time.Time
+	events      events
+	length      time.Duration
+	measureFrom time.Duration
+	now         time.Time
+	results     []sourceResult
+	queued      map[*Waiter]func(Decision)
+	random      *rand.Rand
+	s           *Scheduler
 }
 
-func simulate(t *testing.T, config Config, slots int, seed uint64, warm, length time.Duration, sources []source) []outcome {
+// simulate runs the sources for the given length of virtual time and returns a result for each, measured from
+// measureFrom on.
+func simulate(t *testing.T, config Config, slots int, seed uint64, measureFrom, length time.Duration, sources []source) []sourceResult {
 	t.Helper()
 	begin := time.Unix(0, 0)
 	sim := &simulation{
-		begin: begin, now: begin, length: length, measured: warm,
-		outcomes: make([]outcome, len(sources)), queued: make(map[*Waiter]func(Verdict)),
+		begin: begin, now: begin, length: length, measureFrom: measureFrom,
+		results: make([]sourceResult, len(sources)), queued: make(map[*Waiter]func(Decision)),
 		random: rand.New(rand.NewPCG(seed, 2)), s: New(slots, config),
 	}
-	for i, one := range sources {
-		if one.until == 0 {
-			one.until = length
+	for i, src := range sources {
+		if src.until == 0 {
+			src.until = length
 		}
-		sim.arrive(i, one, begin.Add(one.from))
+		sim.scheduleArrival(i, src, begin.Add(src.from))
 	}
 	for sim.events.Len() > 0 {
 		next := heap.Pop(&sim.events).(event)
@@ -85,83 +88,83 @@
 		}
 		sim.now = next.at
 		next.do()
-		sim.collect()
+		sim.deliverDecisions()
 	}
-	return sim.outcomes
+	return sim.results
 }
 
-func (sim *simulation) at(at time.Time, do func()) {
+func (sim *simulation) schedule(at time.Time, do func()) {
 	heap.Push(&sim.events, event{at, do})
 }
 
-func (sim *simulation) arrive(i int, one source, at time.Time) {
-	at = at.Add(time.Duration(sim.random.ExpFloat64() / one.perSecond * float64(time.Second)))
-	if at.Sub(sim.begin) > one.until {
+func (sim *simulation) scheduleArrival(i int, src source, at time.Time) {
+	at = at.Add(time.Duration(sim.random.ExpFloat64() / src.perSecond * float64(time.Second)))
+	if at.Sub(sim.begin) > src.until {
 		return
 	}
-	taken := time.Duration(sim.random.ExpFloat64() * float64(one.mean))
-	sim.at(at, func() {
-		sim.arrive(i, one, at)
-		w := one.waiter(sim.now)
+	serviceTime := time.Duration(sim.random.ExpFloat64() * float64(src.meanSlotTime))
+	sim.schedule(at, func() {
+		sim.scheduleArrival(i, src, at)
+		w := src.newWaiter(sim.now)
 		queued, refusal := sim.s.Submit(sim.now, w)
 		switch {
 		case refusal != nil:
-			sim.outcomes[i].refused++
+			sim.results[i].refused++
 		case queued:
-			sim.queued[w] = func(v Verdict) { sim.run(i, w, taken, v) }
+			sim.queued[w] = func(d Decision) { sim.run(i, w, serviceTime, d) }
 		default:
-			sim.run(i, w, taken, Verdict{})
+			sim.run(i, w, serviceTime, Decision{})
 		}
 	})
 }
 
-// waiter returns a request that arrives now.
-func (s *source) waiter(now time.Time) *Waiter {
+// newWaiter returns a waiter for a request of the source that arrives now.
+func (s *source) newWaiter(now time.Time) *Waiter {
 	deadline := s.deadline
 	if deadline == 0 {
 		deadline = 10 * time.Second
 	}
 	w := NewWaiter(now, s.class, now.Add(deadline))
-	if s.useful > 0 {
-		w.Useful = now.Add(s.useful)
+	if s.usefulFor > 0 {
+		w.UsefulUntil = now.Add(s.usefulFor)
 	}
 	return w
 }
 
-func (sim *simulation) run(i int, w *Waiter, taken time.Duration, v Verdict) {
-	o := &sim.outcomes[i]
-	if v.Refusal != nil {
+func (sim *simulation) run(i int, w *Waiter, serviceTime time.Duration, d Decision) {
+	o := &sim.results[i]
+	if d.Refusal != nil {
 		o.refused++
 		return
 	}
 	began := sim.now
-	o.slotTime += sim.within(began.Sub(sim.begin), began.Add(taken).Sub(sim.begin))
-	sim.at(began.Add(taken), func() {
-		sim.s.Done(sim.now, w, taken)
-		if began.Sub(sim.begin) > sim.measured {
+	o.slotTime += sim.measuredOverlap(began.Sub(sim.begin), began.Add(serviceTime).Sub(sim.begin))
+	sim.schedule(began.Add(serviceTime), func() {
+		sim.s.Done(sim.now, w, serviceTime)
+		if began.Sub(sim.begin) > sim.measureFrom {
 			o.answered++
-			o.waits = append(o.waits, began.Sub(w.Arrived)+taken)
+			o.latencies = append(o.latencies, began.Sub(w.Arrived)+serviceTime)
 		}
 	})
 }
 
-// within returns the part of a time that lies in the measured window.
-func (sim *simulation) within(from, to time.Duration) time.Duration {
-	return max(0, min(to, sim.length)-max(from, sim.measured))
+// measuredOverlap returns how much of an interval lies in the measured window.
+func (sim *simulation) measuredOverlap(from, to time.Duration) time.Duration {
+	return max(0, min(to, sim.length)-max(from, sim.measureFrom))
 }
 
-// collect acts on the verdicts that the last step brought, in the order of arrival.
-func (sim *simulation) collect() {
+// deliverDecisions handles the decisions that the last step made, in the order of the waiters' arrival.
+func (sim *simulation) deliverDecisions() {
 	var due []*Waiter
 	for w := range sim.queued {
-		if len(w.Verdicts) > 0 {
+		if len(w.Decisions) > 0 {
 			due = append(due, w)
 		}
 	}
 	slices.SortFunc(due, func(a, b *Waiter) int { return a.Arrived.Compare(b.Arrived) })
 	for _, w := range due {
-		verdict := sim.queued[w]
+		handle := sim.queued[w]
 		delete(sim.queued, w)
-		verdict(<-w.Verdicts)
+		handle(<-w.Decisions)
 	}
 }
--- a/internal/scheduler/waiter.go
+++ b/internal/scheduler/waiter.go
@@ -6,20 +6,20 @@
 	"github.com/marigoldrelay/marigoldrelay/internal/refuser"
 )
 
-// Class is what a request is accounted under.
+// Class identifies the account of a request: its neighbour and rank.
 type Class struct {
 	Neighbour string
 	// Rank is the position of the rank, 0 being the most urgent.
 	Rank int
 }
 
-// Verdict is the final decision on a waiter.
-type Verdict struct {
-	// Binding is where a taken request is to run.
+// Decision is the final decision on a queued waiter. The zero value means that the waiter has a slot here.
+type Decision struct {
+	// Binding is the slot in which a bound request is to run.
 	Binding Binding
-	// Taken is true when the request was bound to another server by Take.
-	Taken bool
-	// Refusal is set when the waiter is given up.
+	// Bound is true if BindNext has bound the request to another server.
+	Bound bool
+	// Refusal is set if the waiter is refused.
 	Refusal *refuser.Refusal
 }
 
@@ -29,36 +29,36 @@
 	phaseNew phase = iota
 	phaseQueued
 	phaseRunning
-	phaseTaken
+	phaseBound
 	phaseRefused
 	phaseDone
 )
 
-// Waiter is one request, or one reservation for a request that waits elsewhere.
+// Waiter is one request, or one reservation for a request that is queued at another server.
 type Waiter struct {
 	Arrived  time.Time
 	Class    Class
 	Deadline time.Time
-	// Reservation is true for a claim on a slot by a request that another server holds.
+	// Reservation is true for a reservation of a slot for a request that is queued at another server.
 	Reservation bool
-	// Useful is until when a start leads to an answer in time; zero where that is not known. A waiter
-	// that is too late gives way to those that are not.
-	Useful time.Time
-	// Verdicts receives exactly one value for a waiter that Submit queued.
-	Verdicts chan Verdict
+	// UsefulUntil is the latest start time at which the answer still comes in time; zero where it is not
+	// known. A waiter that could only start later is refused if others are queued.
+	UsefulUntil time.Time
+	// Decisions receives exactly one value for a waiter that Submit queued and Withdraw has not removed.
+	Decisions chan Decision
 
 	charged time.Duration
 	phase   phase
 }
 
-// NewWaiter returns a waiter that arrived at now.
+// NewWaiter returns a waiter for a request that arrived at now.
 func NewWaiter(now time.Time, class Class, deadline time.Time) *Waiter {
 	return &Waiter{Arrived: now, Class: class, Deadline: deadline}
 }
 
-// isLate reports whether an answer would come too late even if the request began now.
-func (w *Waiter) isLate(now time.Time) bool {
-	return !w.Useful.IsZero() && now.After(w.Useful)
+// isTooLate reports whether the answer would come too late even if the request started now.
+func (w *Waiter) isTooLate(now time.Time) bool {
+	return !w.UsefulUntil.IsZero() && now.After(w.UsefulUntil)
 }
 
 // NewReservation returns a reservation that arrived at now.
@@ -66,7 +66,7 @@
 	return &Waiter{Arrived: now, Class: class, Deadline: deadline, Reservation: true}
 }
 
-// Binding names the slot on another server that a request was bound to.
+// Binding identifies the slot of another server that a request is bound to.
 type Binding struct {
 	Grant  uint64
 	Server string
