--- a/internal/executor/executor.go
+++ b/internal/executor/executor.go
@@ -299,7 +299,7 @@
 
 func (e *Executor) currentLoad() carrier.Load {
 	return carrier.Load{
-		Best:     e.limit.Best(),
+		Best:     e.limit.BestFraction(),
 		Latency:  e.limit.Latency(),
 		Queued:   e.schedule.Queued(),
 		Running:  e.schedule.Running(),
--- a/internal/executor/load.go
+++ b/internal/executor/load.go
@@ -28,7 +28,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.load = loadReport{receivedAt: e.Clock.Now(), slowdown: load.Slowdown}
-	e.limit.Reported()
+	e.limit.SetReportsLoad()
 	stall := time.Duration(0)
 	if e.isSlow() {
 		stall = slowStall
--- a/internal/limiter/limiter_test.go
+++ b/internal/limiter/limiter_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// upstream is a model of a server whose answers take longer when more run than it can.
+// upstream is a model of a server whose answers take longer when more requests run than its capacity.
 type upstream struct {
 	capacity float64
 	random   *rand.Rand
@@ -14,11 +14,11 @@
 }
 
 func (u *upstream) answer(running int) time.Duration {
-	stretch := max(1, float64(running)/u.capacity)
-	return time.Duration(float64(u.service) * stretch * u.random.ExpFloat64())
+	slowdown := max(1, float64(running)/u.capacity)
+	return time.Duration(float64(u.service) * slowdown * u.random.ExpFloat64())
 }
 
-// serve runs the limiter at its limit for count answers and returns the limit after each.
+// serve runs count requests at the limit and returns the limit after each of them.
 func serve(l *Limiter, u *upstream, now *time.Time, count int) []int {
 	limits := make([]int, 0, count)
 	for range count {
@@ -31,7 +31,7 @@
 	return limits
 }
 
-func mean(limits []int) float64 {
+func meanLimit(limits []int) float64 {
 	sum := 0
 	for _, limit := range limits {
 		sum += limit
@@ -39,10 +39,10 @@
 	return float64(sum) / float64(len(limits))
 }
 
-func TestSlowStartReachesTheSlots(t *testing.T) {
+func TestSlowStartReachesAllSlots(t *testing.T) {
 	l, now := New(12), time.Unix(0, 0)
 	if first := l.Limit(); first > 3 {
-		t.Errorf("a new upstream gets %d requests at once", first)
+		t.Errorf("a new upstream gets %d concurrent requests", first)
 	}
 	u := &upstream{capacity: 100, random: rand.New(rand.NewPCG(1, 1)), service: 10 * time.Millisecond}
 	limits := serve(l, u, &now, 2000)
@@ -52,14 +52,14 @@
 			break
 		}
 	}
-	if got := mean(limits[1000:]); got < 11.5 {
+	if got := meanLimit(limits[1000:]); got < 11.5 {
 		t.Errorf("a steady upstream gets %.1f of 12 slots", got)
 	}
 }
 
-// TestCapacityHalves lets a neighbour's burst take half of the server. The limit must fall, and
-// come back when the burst is over.
-func TestCapacityHalves(t *testing.T) {
+// TestCapacityDrop reduces the capacity of the server to a quarter, as a neighbour's burst does. The limit must
+// fall within a second, and recover when the burst is over.
+func TestCapacityDrop(t *testing.T) {
 	l, now := New(12), time.Unix(0, 0)
 	u := &upstream{capacity: 12, random: rand.New(rand.NewPCG(2, 1)), service: 10 * time.Millisecond}
 	serve(l, u, &now, 2000)
@@ -73,12 +73,12 @@
 		t.Errorf("the limit took %s to fall", now.Sub(began))
 	}
 	u.capacity = 12
-	if got := mean(serve(l, u, &now, 4000)[2000:]); got < 11 {
+	if got := meanLimit(serve(l, u, &now, 4000)[2000:]); got < 11 {
 		t.Errorf("the limit is %.1f of 12 after the burst", got)
 	}
 }
 
-func TestFailuresCutToOne(t *testing.T) {
+func TestFailuresReduceLimitToOne(t *testing.T) {
 	l, now := New(12), time.Unix(0, 0)
 	u := &upstream{capacity: 100, random: rand.New(rand.NewPCG(3, 1)), service: 10 * time.Millisecond}
 	serve(l, u, &now, 500)
@@ -87,7 +87,7 @@
 		l.Observe(now, Sample{Latency: 100 * time.Microsecond, Result: ResultFailed, Running: l.Limit()})
 	}
 	if l.Limit() != 1 || l.FailureRate() < 0.9 {
-		t.Errorf("a failing upstream gets %d requests at once, failure rate %.2f", l.Limit(), l.FailureRate())
+		t.Errorf("a failing upstream gets %d concurrent requests, failure rate %.2f", l.Limit(), l.FailureRate())
 	}
 	if latency := l.Latency(); latency < 2*time.Millisecond {
 		t.Errorf("quick failures count as a latency of %s", latency)
