--- a/internal/carrier/attempt.go
+++ b/internal/carrier/attempt.go
@@ -53,8 +53,8 @@
 	Caller string `cbor:"1,keyasint,omitempty"`
 	// Call identifies the caller's request over all of its attempts.
 	Call string `cbor:"2,keyasint,omitempty"`
-	// Chain identifies the outermost request that this one is made for.
-	Chain string `cbor:"3,keyasint,omitempty"`
+	// RootCall is the id of the outermost call that this one is nested in, or empty.
+	RootCall string `cbor:"3,keyasint,omitempty"`
 	// Depth is the number of calls above this one.
 	Depth int `cbor:"4,keyasint,omitempty"`
 	// Grant names the slot that the receiver holds for the attempt; zero for none.
@@ -93,21 +93,21 @@
 // The values of Try.
 const (
 	TryFirst Try = iota
-	// TryFurther is an attempt of a request that an upstream may have got before.
-	TryFurther
+	// TryRetry is an attempt of a request that an upstream may have received before.
+	TryRetry
 	// TryBelowFurther is an attempt of a call that an upstream makes while it runs a further try.
 	TryBelowFurther
 )
 
 // Tries returns every value.
 func Tries() []Try {
-	return []Try{TryFirst, TryFurther, TryBelowFurther}
+	return []Try{TryFirst, TryRetry, TryBelowFurther}
 }
 
 // String returns the name of the value in logs and metrics.
 func (t Try) String() string {
 	switch t {
-	case TryFurther:
+	case TryRetry:
 		return "further"
 	case TryBelowFurther:
 		return "below-further"
--- a/internal/carrier/context.go
+++ b/internal/carrier/context.go
@@ -19,8 +19,8 @@
 
 // Context is what the calls made on behalf of another call inherit from it.
 type Context struct {
-	Call  string `json:"call"`
-	Chain string `json:"chain"`
+	Call     string `json:"call"`
+	RootCall string `json:"chain"`
 	// Deadline is in the clock of the VM, which the node and its upstream share.
 	Deadline  time.Time `json:"deadline"`
 	Depth     int       `json:"depth"`
@@ -30,13 +30,13 @@
 
 // Stamp writes the attempt's context into the headers of a request to the upstream.
 func Stamp(key *signer.Signer, a *Attempt, req *fasthttp.Request, deadline time.Time) {
-	chain := a.Chain
-	if chain == "" {
-		chain = a.Call
+	rootCall := a.RootCall
+	if rootCall == "" {
+		rootCall = a.Call
 	}
 	inherited := Context{
 		Call:      a.Call,
-		Chain:     chain,
+		RootCall:  rootCall,
 		Deadline:  deadline,
 		Depth:     a.Depth + 1,
 		Neighbour: a.Neighbour,
--- /dev/null
+++ b/internal/dispatcher/attempts.go
@@ -0,0 +1,386 @@
+package dispatcher
+
+import (
+	"context"
+	"math/rand/v2"
+	"time"
+
+	"github.com/valyala/fasthttp"
+
+	"github.com/marigoldrelay/marigoldrelay/internal/carrier"
+	"github.com/marigoldrelay/marigoldrelay/internal/gossiper"
+	"github.com/marigoldrelay/marigoldrelay/internal/meter"
+	"github.com/marigoldrelay/marigoldrelay/internal/refuser"
+	"github.com/marigoldrelay/marigoldrelay/internal/router"
+)
+
+// Journey is the state of one call across its attempts.
+type Journey struct {
+	// Arrivals is the number of attempts that reached an upstream or may have.
+	Arrivals int
+	// HandBacks is the number of attempts that a node handed back.
+	HandBacks int
+	// Hedged is true if a hedge was started.
+	Hedged bool
+	// Load, LoadAge and Slow are what this node knew of the target of the last attempt when it picked it.
+	Load    float64
+	LoadAge time.Duration
+	Slow    bool
+	// OverBudget is the number of attempts that were refused because the upstream had reached its limit on
+	// repeats, and then retried.
+	OverBudget int
+	// QueueFullRefusals is the number of attempts that were refused because of a full queue, and then retried.
+	QueueFullRefusals int
+	// Runs is the number of attempts that an upstream may have run.
+	Runs int
+	// Target is the node of the last attempt.
+	Target string
+	// Tries is the number of attempts without hedges.
+	Tries int
+
+	// handedBack are the nodes that have handed the call back.
+	handedBack []string
+	// excluded are the nodes that the call is not sent to again.
+	excluded []string
+}
+
+// runAttempts sends attempts of the call until one is not retried, and returns its refusal, or nil if resp holds
+// the response.
+func (d *Dispatcher) runAttempts(ctx context.Context, call *Call, j *Journey, req *fasthttp.Request, resp *fasthttp.Response) *refuser.Refusal {
+	if !call.BelowRetry {
+		d.Retries.Earn(call.Neighbour)
+	}
+	var outcome carrier.Outcome
+	var saved savedOutcome
+	for {
+		choice, optional, ok := d.pickTarget(call, j)
+		if !ok {
+			if j.Tries == 0 {
+				outcome.Refusal = noUpstreamRefusal()
+			}
+			break
+		}
+		j.Tries++
+		j.Target = choice.Name
+		j.Load, j.LoadAge, j.Slow = choice.Load, choice.LoadAge, choice.Slow
+		outcome = d.sendHedged(ctx, call, j, choice.Member, optional, req, resp)
+		j.countArrival(&outcome)
+		reason, retryable := d.retryReason(call, j, &outcome, resp)
+		if !retryable && isOverBudget(&outcome) {
+			d.reportNotRetried(call, j.Target, meter.RetryRefusalUpstream)
+		}
+		if !retryable || !d.admitRetry(call, j, &outcome) {
+			break
+		}
+		j.recordRetried(choice.Name, &outcome)
+		saved.save(&outcome, resp)
+		d.Meter.Retried(reason)
+	}
+	saved.restore(&outcome, resp)
+	d.recordOutcome(call, &outcome, resp)
+	d.setRetryAfter(call, outcome.Refusal)
+	return outcome.Refusal
+}
+
+// savedOutcome holds the outcome of the last attempt that an upstream may have run, while the call is retried.
+type savedOutcome struct {
+	// response is nil if nothing is saved.
+	response *fasthttp.Response
+	outcome  carrier.Outcome
+}
+
+// save keeps the outcome of an attempt, unless the attempt is known not to have run.
+func (s *savedOutcome) save(outcome *carrier.Outcome, resp *fasthttp.Response) {
+	if outcome.IsNotRun() {
+		return
+	}
+	s.outcome = *outcome
+	s.response = &fasthttp.Response{}
+	resp.CopyTo(s.response)
+}
+
+// restore replaces the outcome of a retry that has not run with the saved one. Otherwise the caller would be told
+// that its request has not run, although an earlier attempt may have.
+func (s *savedOutcome) restore(outcome *carrier.Outcome, resp *fasthttp.Response) {
+	if s.response == nil || !outcome.IsNotRun() {
+		return
+	}
+	*outcome = s.outcome
+	s.response.CopyTo(resp)
+}
+
+const (
+	// minRetryAfter gives a full upstream time to work off its queue.
+	minRetryAfter = 300 * time.Millisecond
+	// retryAfterDivisor limits the wait before the caller's retry to this fraction (1/3) of its remaining time.
+	retryAfterDivisor = 3
+)
+
+// setRetryAfter sets when the caller of a refused call should retry: with random jitter, so that callers don't
+// retry all at once, and early enough to be served before the caller gives up.
+func (d *Dispatcher) setRetryAfter(call *Call, refusal *refuser.Refusal) {
+	if refusal == nil || refusal.RetryAfter == 0 {
+		return
+	}
+	retryAfter := max(refusal.RetryAfter, minRetryAfter)
+	retryAfter += rand.N(retryAfter / 2)
+	remaining := call.CallerDeadline.Sub(d.Clock.Now())
+	refusal.RetryAfter = max(time.Millisecond, min(retryAfter, remaining/retryAfterDivisor))
+}
+
+// pickTarget picks the next target and reports whether the attempt is optional. It is optional if there are other
+// nodes left, including those that handed the call back, and if the target is believed to have free slots and its
+// usual speed, or the attempt is the call's first. Otherwise, and after maxHandBacks hand-backs, the attempt is not
+// optional and can go to a node that handed the call back.
+func (d *Dispatcher) pickTarget(call *Call, j *Journey) (choice router.Choice, optional, ok bool) {
+	if j.HandBacks < maxHandBacks {
+		exclude := append(append([]string(nil), j.excluded...), j.handedBack...)
+		if choice, ok := d.Targets.Pick(d.need(call), exclude); ok && (choice.Responsive || j.Tries == 0) {
+			return choice, choice.Alternatives > 0 || len(j.handedBack) > 0, true
+		}
+	}
+	choice, ok = d.Targets.Pick(d.need(call), j.excluded)
+	return choice, false, ok
+}
+
+// maxSlowPeriod is how long an upstream on a shared VM can stay slow: two periods of half a second.
+const maxSlowPeriod = time.Second
+
+// need returns what the call requires of its target.
+func (d *Dispatcher) need(call *Call) router.Need {
+	serviceTime := d.latencies.forCall(call).serviceTime.Value()
+	slack := call.TargetLatency - d.Clock.Now().Sub(call.Started) - serviceTime
+	return router.Need{Relaxed: serviceTime > 0 && slack > maxSlowPeriod, Service: call.Service, TargetLatency: call.TargetLatency}
+}
+
+// lateWaitFactor limits the wait of a call whose caller has no time to retry, in target latencies. A later
+// response would also make the calling upstream late for its own callers and keep one of its slots in use.
+const lateWaitFactor = 1.5
+
+// minUsefulWait tells a node that the response will be late in any case.
+const minUsefulWait = time.Millisecond
+
+// callerCanRetry reports whether the caller of a refused call has time left to retry and be served. An upstream
+// that calls another service usually has not.
+func (d *Dispatcher) callerCanRetry(call *Call) bool {
+	return call.CallerDeadline.Sub(d.Clock.Now()) >= minRetryAfter+call.TargetLatency
+}
+
+// usefulWait returns how long the call can wait in a queue and still be answered in time, or zero if the route
+// sets no target latency. If the caller has no time to retry, the limit is longer: it is better served late than
+// refused.
+func (d *Dispatcher) usefulWait(call *Call) time.Duration {
+	if call.TargetLatency == 0 {
+		return 0
+	}
+	estimates := d.latencies.forCall(call)
+	now := d.Clock.Now()
+	if !d.callerCanRetry(call) {
+		// Use the service time, not the total latency: under overload the latency is mostly waiting time, and
+		// all calls would be given up.
+		serviceTime, remaining := estimates.serviceTime.Value(), call.CallerDeadline.Sub(now)
+		if serviceTime == 0 {
+			serviceTime = remaining / 4
+		}
+		return max(minUsefulWait, min(remaining-2*serviceTime, time.Duration(lateWaitFactor*float64(call.TargetLatency))))
+	}
+	median := estimates.median.Value()
+	if median == 0 {
+		median = call.TargetLatency / 2
+	}
+	return max(minUsefulWait, call.TargetLatency-median-now.Sub(call.Started))
+}
+
+// recordRetried records the outcome of an attempt that is retried.
+func (j *Journey) recordRetried(target string, outcome *carrier.Outcome) {
+	switch {
+	case isHandedBack(outcome):
+		j.HandBacks++
+		j.handedBack = append(j.handedBack, target)
+	case !isConnectionFault(outcome):
+		if outcome.IsRefusedAs(refuser.ReasonQueueFull) {
+			j.QueueFullRefusals++
+		}
+		if isOverBudget(outcome) {
+			j.OverBudget++
+		}
+		j.excluded = append(j.excluded, target)
+	}
+}
+
+// countArrival counts an attempt that reached an upstream, and whether the upstream may have run it.
+func (j *Journey) countArrival(outcome *carrier.Outcome) {
+	if !outcome.Reached() {
+		return
+	}
+	j.Arrivals++
+	if !outcome.IsNotRun() {
+		j.Runs++
+	}
+}
+
+func isHandedBack(outcome *carrier.Outcome) bool {
+	return outcome.IsRefusedAs(refuser.ReasonBusy)
+}
+
+// isOverBudget reports whether a node refused a retry because its upstream has reached its limit on repeats.
+func isOverBudget(outcome *carrier.Outcome) bool {
+	return outcome.IsRefusedAs(refuser.ReasonRetryBudget)
+}
+
+func noUpstreamRefusal() *refuser.Refusal {
+	return refuser.Later(refuser.ReasonNoUpstream, noUpstreamRetry, "no server of the service is ready")
+}
+
+// nextAttempt returns the next attempt of the call.
+func (d *Dispatcher) nextAttempt(call *Call, j *Journey, optional bool) carrier.Attempt {
+	return d.newAttempt(call, call.tryFor(j.Arrivals), optional, j.HandBacks > 0)
+}
+
+func (d *Dispatcher) newAttempt(call *Call, try carrier.Try, optional, handedOn bool) carrier.Attempt {
+	return carrier.Attempt{
+		Age:        d.Clock.Now().Sub(call.Started),
+		Call:       call.ID,
+		Caller:     call.Caller,
+		RootCall:   call.RootCall,
+		Depth:      call.Depth,
+		HandedOn:   handedOn,
+		Idempotent: call.Idempotent,
+		Key:        call.Key,
+		Neighbour:  call.Neighbour,
+		Optional:   optional,
+		Rank:       call.Rank,
+		Relaxed:    d.need(call).Relaxed,
+		Request:    call.Request,
+		Service:    call.Service,
+		Try:        try,
+		Useful:     d.usefulWait(call),
+	}
+}
+
+// tryFor returns the kind of an attempt that follows the given number of arrivals at upstreams.
+func (c *Call) tryFor(arrivals int) carrier.Try {
+	switch {
+	case c.BelowRetry:
+		return carrier.TryBelowFurther
+	case arrivals > 0:
+		return carrier.TryRetry
+	default:
+		return carrier.TryFirst
+	}
+}
+
+// sendAttempt sends the attempt to the target and records the outcome for later picks.
+func (d *Dispatcher) sendAttempt(ctx context.Context, call *Call, target gossiper.Member, attempt carrier.Attempt, req *fasthttp.Request, resp *fasthttp.Response) carrier.Outcome {
+	resp.Reset()
+	d.Targets.Sent(target.Name)
+	outcome := d.Sender.Send(ctx, target, attempt, req, resp, call.Deadline)
+	d.Targets.Learn(target.Name, outcome.Load, isTargetFailure(&outcome, resp))
+	return outcome
+}
+
+// isTargetFailure reports whether the outcome counts as a failure of the target.
+func isTargetFailure(outcome *carrier.Outcome, resp *fasthttp.Response) bool {
+	if outcome.Refusal == nil {
+		return isErrorResponse(resp)
+	}
+	if isConnectionFault(outcome) {
+		return false
+	}
+	switch outcome.Refusal.Reason {
+	case refuser.ReasonBusy, refuser.ReasonCancelled, refuser.ReasonDeadline, refuser.ReasonPoison,
+		refuser.ReasonQuarantined, refuser.ReasonQueueFull, refuser.ReasonRetryBudget:
+		return false
+	default:
+		return true
+	}
+}
+
+// isConnectionFault reports whether the attempt never reached the target although the target is healthy: the
+// connection was lost or got no response, and the target has barred the attempt since.
+func isConnectionFault(outcome *carrier.Outcome) bool {
+	return outcome.IsNotRun() && outcome.IsRefusedAs(refuser.ReasonUpstreamLost)
+}
+
+func isErrorResponse(resp *fasthttp.Response) bool {
+	switch resp.StatusCode() {
+	case fasthttp.StatusInternalServerError, fasthttp.StatusBadGateway, fasthttp.StatusServiceUnavailable,
+		fasthttp.StatusGatewayTimeout:
+		return true
+	default:
+		return false
+	}
+}
+
+// retryReason reports whether a retry could help and is safe, and the reason for it.
+func (d *Dispatcher) retryReason(call *Call, j *Journey, outcome *carrier.Outcome, resp *fasthttp.Response) (meter.RetryReason, bool) {
+	refusal := outcome.Refusal
+	switch {
+	case refusal == nil:
+		return meter.RetryFailed, call.Idempotent && isErrorResponse(resp)
+	case refusal.Reason == refuser.ReasonBusy:
+		return meter.RetryHandedBack, true
+	case refusal.Reason == refuser.ReasonQueueFull && j.QueueFullRefusals < maxQueueFullRefusals && !d.callerCanRetry(call):
+		return meter.RetryNotRun, true
+	case refusal.Reason == refuser.ReasonRetryBudget:
+		return meter.RetryElsewhere, j.OverBudget < maxOverBudget
+	case refusal.IsNotRun():
+		return meter.RetryNotRun, isLocalRefusal(refusal.Reason)
+	default:
+		return meter.RetryFailed, call.Idempotent && outcome.Lost && refusal.Reason != refuser.ReasonCancelled
+	}
+}
+
+// isLocalRefusal reports whether the reason applies to one node only. A refusal for lack of capacity does not: it
+// reflects the queues of the whole service, and a retry would only add to the overload. retryReason makes an
+// exception for callers that have no time to retry.
+func isLocalRefusal(reason refuser.Reason) bool {
+	switch reason {
+	case refuser.ReasonDraining, refuser.ReasonNoUpstream, refuser.ReasonQuarantined, refuser.ReasonShed,
+		refuser.ReasonUpstreamLost:
+		return true
+	default:
+		return false
+	}
+}
+
+// admitRetry reports whether the call's limits and the retry budget allow another attempt. The retry spends budget
+// only if the last attempt reached an upstream or may have.
+func (d *Dispatcher) admitRetry(call *Call, j *Journey, outcome *carrier.Outcome) bool {
+	var reason meter.RetryRefusal
+	switch {
+	case outcome.Spent:
+		reason = meter.RetryRefusalNested
+	case j.Tries >= maxTries || j.Runs >= call.Attempts:
+		reason = meter.RetryRefusalTries
+	case !d.Clock.Now().Before(call.Deadline):
+		reason = meter.RetryRefusalDeadline
+	case outcome.Reached() && !d.Retries.Spend(call.Neighbour):
+		reason = meter.RetryRefusalBudget
+	default:
+		return true
+	}
+	d.reportNotRetried(call, j.Target, reason)
+	return false
+}
+
+func (d *Dispatcher) reportNotRetried(call *Call, target string, reason meter.RetryRefusal) {
+	d.Meter.RetryRefused(reason)
+	if d.NotRetried != nil {
+		d.NotRetried(call, target, reason)
+	}
+}
+
+func (d *Dispatcher) recordOutcome(call *Call, outcome *carrier.Outcome, resp *fasthttp.Response) {
+	failed := outcome.Refusal != nil || isErrorResponse(resp)
+	if failed && call.ParentCall != "" {
+		d.FailedBelow(call.ParentCall)
+	}
+	if outcome.Refusal == nil {
+		total := d.Clock.Now().Sub(call.Started)
+		if !failed {
+			d.latencies.forCall(call).observe(total, outcome.Used)
+		}
+		d.Meter.Answered(call.Service, call.Rank, total, total-outcome.Used)
+	}
+}
--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -1,5 +1,5 @@
-// Package dispatcher takes callers' requests at the entry node: it finds the route, picks targets,
-// and makes the further tries that are safe and within the neighbour's budget.
+// Package dispatcher handles callers' requests at the entry node: it matches the route, picks target nodes,
+// and retries or hedges where that is safe and within the neighbour's retry budget.
 package dispatcher
 
 import (
@@ -22,80 +22,91 @@
 )
 
 const (
-	// defaultAttempts is the number of upstreams that a request may be sent to where its route does not
-	// say.
+	// defaultAttempts is the maximum number of upstreams that a request is sent to if its route sets none.
 	defaultAttempts = 4
 	maxDepth        = 16
-	// maxHandBacks is how often a request may be handed back before a node has to keep it.
+	// maxHandBacks is how often nodes can hand a request back. After that its attempts are not optional, so that
+	// a node has to keep it.
 	maxHandBacks = 3
-	// maxOverBudget is how many further nodes are asked where one takes no more repeats.
+	// maxOverBudget is how often a call is retried after a node refuses a retry because of its upstream's
+	// limit on repeats.
 	maxOverBudget = 1
-	// maxRefusals is how many full queues a call is offered to whose caller can't come back.
-	maxRefusals = 3
-	// maxTries bounds the tries that reach no upstream.
+	// maxQueueFullRefusals is how often a call is retried after a full queue if its caller has no time to
+	// come back later.
+	maxQueueFullRefusals = 3
+	// maxTries limits the attempts of a call, including those that reach no upstream but not hedges.
 	maxTries = 10
-	// noUpstreamRetry is when a service without a ready upstream is worth another try.
+	// noUpstreamRetry is the time after which a retry can succeed if a service has no ready upstream or no
+	// configuration is in force.
 	noUpstreamRetry = 300 * time.Millisecond
 )
 
-// Targets picks nodes and learns from their outcomes.
+// Targets picks the nodes that attempts are sent to and records outcomes and load reports of these nodes.
 type Targets interface {
+	// Learn records the outcome of an attempt. failed is true if it counts against the node.
 	Learn(name string, load carrier.Load, failed bool)
-	// LoadSeen takes a node's word on its load. It reports whether its upstream has turned slow.
-	LoadSeen(name string, load carrier.Load) bool
-	// Overdue notes that an answer of the node is overdue.
-	Overdue(name string)
+	// ObserveLoad records a load report of a node. It reports whether the node's upstream has become slow.
+	ObserveLoad(name string, load carrier.Load) bool
+	// MarkOverdue records that a response of the node is overdue.
+	MarkOverdue(name string)
+	// Pick chooses a node that is not in exclude. It reports false if there is none.
 	Pick(need router.Need, exclude []string) (router.Choice, bool)
+	// Sent records that an attempt is sent to the node.
 	Sent(name string)
 }
 
-// Sender takes an attempt to a node, which can be this one.
+// Sender sends an attempt to a node, which can be this one, and returns its outcome. A response is left in resp.
 type Sender interface {
 	Send(ctx context.Context, to gossiper.Member, a carrier.Attempt, req *fasthttp.Request, resp *fasthttp.Response, deadline time.Time) carrier.Outcome
 }
 
-// Runs knows what runs at the upstream beside the node.
-type Runs interface {
-	// Find returns the attempt that the upstream runs for a call, by the call's id or by the one that its
-	// caller gave it.
+// AttemptFinder finds the attempts that run at the upstream beside the node.
+type AttemptFinder interface {
+	// Find returns the attempt that the upstream runs for a call, looked up by the call's id or by the request
+	// id that the caller set.
 	Find(call, request string) (carrier.Attempt, bool)
 }
 
-// Claims makes a request with an idempotency key run once, whichever entry node it comes to.
+// Claims ensures that a request with an idempotency key runs once, whichever entry node receives it.
 type Claims interface {
-	// Run calls run unless the key was claimed before; then it leaves the first answer in resp.
+	// Run calls run unless the key was claimed before. In that case it writes the first response to resp.
 	Run(ctx context.Context, call *Call, req *fasthttp.Request, resp *fasthttp.Response, run func() *refuser.Refusal) *refuser.Refusal
 }
 
-// Call is a caller's request with what its route says of it.
+// Call is a caller's request with the settings of its route and the context inherited from its parent call.
 type Call struct {
-	// BelowFurther is true for a call that an upstream makes while it runs a further try.
-	BelowFurther bool
-	// Attempts is the number of upstreams that the request may be sent to.
+	// BelowRetry is true for a call that an upstream makes while it runs a retry.
+	BelowRetry bool
+	// Attempts is the maximum number of upstreams that the request is sent to.
 	Attempts int
 	// Caller is the service on the VM where the call began.
-	Caller     string
-	Chain      string
-	Deadline   time.Time
-	Depth      int
+	Caller string
+	// RootCall is the id of the outermost call that this one is nested in, or empty.
+	RootCall string
+	// Deadline is the earliest of the route's, the caller's and the parent call's deadlines.
+	Deadline time.Time
+	// Depth is the number of calls that this one is nested in.
+	Depth int
+	// ID is Config.Name followed by a sequence number.
 	ID         string
 	Idempotent bool
 	// Key is the idempotency key, or empty.
-	Key       string
+	Key string
+	// Neighbour is the neighbour whose retry budget the call uses.
 	Neighbour string
-	// Parent is the call that this one is made for, or empty.
-	Parent string
-	Rank   string
-	// Request is the id that the caller gave its request, or empty.
+	// ParentCall is the id of the call during which the upstream made this one, or empty.
+	ParentCall string
+	Rank       string
+	// Request is the request id that the caller set, or empty.
 	Request string
 	// Route is the name of the route, or empty.
 	Route   string
 	Service string
 	Started time.Time
-	// Until is when the caller gives up; the deadline where it does not say.
-	Until time.Time
-	// Target is the time within which the answer is of full use; zero where the route sets none.
-	Target time.Duration
+	// CallerDeadline is when the caller gives up. It equals Deadline if the caller sends no timeout.
+	CallerDeadline time.Time
+	// TargetLatency is the time within which the response is fully useful; zero if the route sets none.
+	TargetLatency time.Duration
 }
 
 // Config holds the dependencies of a Dispatcher.
@@ -104,55 +115,58 @@
 	Caller func() string
 	Claims Claims
 	Clock  timekeeper.Clock
-	// FailedBelow is told of the parent of a call that failed for good.
+	// FailedBelow is called with the id of the parent of each nested call that has finally failed.
 	FailedBelow func(call string)
-	// Finished is told of each call with its outcome; nil tells nobody.
+	// Finished, if not nil, is called with each call that has ended and its outcome.
 	Finished func(call *Call, journey *Journey, resp *fasthttp.Response, refusal *refuser.Refusal)
-	// Hedged is told of each second try with the targets of both; nil tells nobody.
+	// Hedged, if not nil, is called before each hedge is sent, with the targets of both attempts.
 	Hedged      func(call *Call, first, second string, reason meter.RetryReason)
 	Interpreter Interpreter
 	Meter       *meter.Meter
-	Name        string
-	// NotRetried is told of each further try that is not made, with the target of the one before; nil tells
-	// nobody.
+	// Name is the prefix of call ids.
+	Name string
+	// NotRetried, if not nil, is called for each retry or hedge that is refused, with the target of the previous
+	// attempt.
 	NotRetried func(call *Call, target string, reason meter.RetryRefusal)
-	// OpenContext returns the context that an upstream passed on.
+	// OpenContext returns the call context that an upstream copied into its request. It reports false if there
+	// is none.
 	OpenContext func(req *fasthttp.Request) (carrier.Context, bool)
 	Retries     *budgeter.Retries
-	// Self is the name of this node as a target.
+	// Self is the name under which this node is a target.
 	Self    string
-	Runs    Runs
+	Runs    AttemptFinder
 	Sender  Sender
 	Targets Targets
 }
 
-// Interpreter reads what callers say in headers.
+// Interpreter parses the request headers that callers set.
 type Interpreter interface {
 	ReadRequest(header *fasthttp.RequestHeader) (interpreter.Request, error)
 }
 
-// Dispatcher serves callers. It is safe for concurrent use.
+// Dispatcher serves the requests of callers. It is safe for concurrent use.
 type Dispatcher struct {
 	Config
 
-	calls     atomic.Uint64
-	hedges    hedges
-	latencies latencies
-	table     atomic.Pointer[table]
+	callSequence atomic.Uint64
+	hedges       pendingHedges
+	latencies    latencyEstimates
+	table        atomic.Pointer[routingTable]
 }
 
-type table struct {
+// routingTable is what the dispatcher derives from a configuration document.
+type routingTable struct {
 	document *validator.Document
 	matcher  *validator.Matcher
 	splits   map[*validator.Route]*split
 }
 
-// New returns a dispatcher that refuses every request until Configure.
+// New returns a dispatcher that refuses every request until Configure is called.
 func New(config Config) *Dispatcher {
 	return &Dispatcher{Config: config}
 }
 
-// Configure puts a document in force.
+// Configure puts a configuration document in force.
 func (d *Dispatcher) Configure(document *validator.Document) {
 	splits := make(map[*validator.Route]*split)
 	for i := range document.Routes {
@@ -160,15 +174,15 @@
 			splits[route] = newSplit(route.Split)
 		}
 	}
-	d.table.Store(&table{document: document, matcher: validator.NewMatcher(document), splits: splits})
+	d.table.Store(&routingTable{document: document, matcher: validator.NewMatcher(document), splits: splits})
 }
 
-// Dispatch answers the caller's request in resp, or returns why not.
+// Dispatch serves the caller's request and writes the response to resp, or returns the refusal.
 func (d *Dispatcher) Dispatch(ctx context.Context, req *fasthttp.Request, resp *fasthttp.Response) *refuser.Refusal {
-	call, refusal := d.open(d.Clock.Now(), req)
+	call, refusal := d.newCall(d.Clock.Now(), req)
 	journey := &Journey{}
 	if refusal == nil {
-		run := func() *refuser.Refusal { return d.run(ctx, call, journey, req, resp) }
+		run := func() *refuser.Refusal { return d.runAttempts(ctx, call, journey, req, resp) }
 		if call.Key != "" && !call.Idempotent {
 			refusal = d.Claims.Run(ctx, call, req, resp, run)
 		} else {
@@ -184,50 +198,51 @@
 	return refusal
 }
 
-// open finds the route and removes the headers that only nodes may set.
-func (d *Dispatcher) open(now time.Time, req *fasthttp.Request) (*Call, *refuser.Refusal) {
-	call := &Call{ID: fmt.Sprintf("%s.%d", d.Name, d.calls.Add(1)), Started: now}
-	said, err := d.Interpreter.ReadRequest(&req.Header)
-	call.Request = said.ID
-	current := d.table.Load()
-	if current == nil {
+// newCall matches the request's route and removes hop-by-hop headers and headers that only nodes may set. The
+// returned call is not nil, even with a refusal.
+func (d *Dispatcher) newCall(now time.Time, req *fasthttp.Request) (*Call, *refuser.Refusal) {
+	call := &Call{ID: fmt.Sprintf("%s.%d", d.Name, d.callSequence.Add(1)), Started: now}
+	parsed, err := d.Interpreter.ReadRequest(&req.Header)
+	call.Request = parsed.ID
+	table := d.table.Load()
+	if table == nil {
 		return call, refuser.Later(refuser.ReasonNoDocument, noUpstreamRetry, "no configuration is in force yet")
 	}
 	inherited, nested := d.OpenContext(req)
-	strip(req)
-	route := current.matcher.Match(string(req.Header.Host()), string(req.Header.Method()), pathOf(req))
+	stripHeaders(req)
+	route := table.matcher.Match(string(req.Header.Host()), string(req.Header.Method()), requestPath(req))
 	if route == nil {
 		return call, refuser.New(refuser.ReasonNoRoute, "no route for this host, method and path")
 	}
 	if err != nil {
 		return call, refuser.New(refuser.ReasonBadRequest, err.Error())
 	}
-	call.follow(route, current)
+	call.applyRoute(route, table)
 	if d.Caller != nil {
 		call.Caller = d.Caller()
 	}
 	if nested {
-		call.inherit(&inherited)
+		call.inheritContext(&inherited)
 	}
-	if parent, ok := d.Runs.Find(inherited.Call, said.Parent); ok {
-		call.BelowFurther = parent.Try != carrier.TryFirst
-		call.Parent = parent.Call
+	if parent, ok := d.Runs.Find(inherited.Call, parsed.Parent); ok {
+		call.BelowRetry = parent.Try != carrier.TryFirst
+		call.ParentCall = parent.Call
 	}
 	if call.Depth > maxDepth {
 		return call, refuser.New(refuser.ReasonBadRequest, "calls are nested too deeply")
 	}
-	call.Until = call.Deadline
-	if said.Timeout > 0 {
-		call.Until = now.Add(said.Timeout)
+	call.CallerDeadline = call.Deadline
+	if parsed.Timeout > 0 {
+		call.CallerDeadline = now.Add(parsed.Timeout)
 	}
-	if said.Timeout > 0 && now.Add(said.Timeout).Before(call.Deadline) {
-		call.Deadline = now.Add(said.Timeout)
+	if parsed.Timeout > 0 && now.Add(parsed.Timeout).Before(call.Deadline) {
+		call.Deadline = now.Add(parsed.Timeout)
 	}
-	return call, call.readKey(req)
+	return call, call.readIdempotencyKey(req)
 }
 
-// follow takes over what the route says.
-func (c *Call) follow(route *validator.Route, current *table) {
+// applyRoute sets the fields that the route determines.
+func (c *Call) applyRoute(route *validator.Route, table *routingTable) {
 	c.Attempts = route.Attempts
 	if c.Attempts == 0 {
 		c.Attempts = defaultAttempts
@@ -237,21 +252,21 @@
 	c.Rank = route.Rank
 	c.Route = route.Name
 	c.Service = route.Service
-	c.Target = route.TargetLatency.Std()
-	if parts := current.splits[route]; parts != nil {
+	c.TargetLatency = route.TargetLatency.Std()
+	if parts := table.splits[route]; parts != nil {
 		c.Service = parts.next()
 	}
-	c.Neighbour = current.document.NeighbourOf(route, c.Service)
+	c.Neighbour = table.document.NeighbourOf(route, c.Service)
 }
 
-// inherit takes over what a nested call may not choose for itself.
-func (c *Call) inherit(from *carrier.Context) {
-	c.Chain = from.Chain
-	c.Depth = from.Depth
-	c.Neighbour = from.Neighbour
-	c.Parent = from.Call
-	c.Rank = from.Rank
-	if from.Deadline.Before(c.Deadline) {
-		c.Deadline = from.Deadline
+// inheritContext sets the fields that a nested call takes from its parent. It never extends the deadline.
+func (c *Call) inheritContext(parent *carrier.Context) {
+	c.RootCall = parent.RootCall
+	c.Depth = parent.Depth
+	c.Neighbour = parent.Neighbour
+	c.ParentCall = parent.Call
+	c.Rank = parent.Rank
+	if parent.Deadline.Before(c.Deadline) {
+		c.Deadline = parent.Deadline
 	}
 }
--- a/internal/dispatcher/dispatcher_test.go
+++ b/internal/dispatcher/dispatcher_test.go
@@ -26,7 +26,7 @@
 
 const retryRatio = 0.1
 
-// level is one node of a chain of calls: its upstream calls the next level through it.
+// level is one node in a chain of nested calls: its upstream calls the next level through it.
 type level struct {
 	*Dispatcher
 	key    *signer.Signer
@@ -40,24 +40,24 @@
 // Learn implements Targets.
 func (l *level) Learn(string, carrier.Load, bool) {}
 
-// Overdue implements Targets.
-func (l *level) Overdue(string) {}
+// MarkOverdue implements Targets.
+func (l *level) MarkOverdue(string) {}
 
 // Pick implements Targets.
 func (l *level) Pick(router.Need, []string) (router.Choice, bool) {
 	return router.Choice{Member: gossiper.Member{Name: "target"}}, true
 }
 
-// Find implements Runs.
+// Find implements AttemptFinder.
 func (l *level) Find(string, string) (carrier.Attempt, bool) { return carrier.Attempt{}, false }
 
-// LoadSeen implements Targets.
-func (l *level) LoadSeen(string, carrier.Load) bool { return false }
+// ObserveLoad implements Targets.
+func (l *level) ObserveLoad(string, carrier.Load) bool { return false }
 
 // Sent implements Targets.
 func (l *level) Sent(string) {}
 
-// Send implements Sender: it runs the request at the upstream, which makes its own call first.
+// Send implements Sender. It runs the request at the upstream, which first makes a nested call.
 func (l *level) Send(ctx context.Context, _ gossiper.Member, a carrier.Attempt, _ *fasthttp.Request, resp *fasthttp.Response, deadline time.Time) carrier.Outcome {
 	l.mu.Lock()
 	l.tries++
@@ -65,18 +65,18 @@
 	if l.next == nil {
 		return l.awaitAnswer(ctx)
 	}
-	below, answer := newRequest(), &fasthttp.Response{}
-	carrier.Stamp(l.key, &a, below, deadline)
-	if refusal := l.next.Dispatch(context.Background(), below, answer); refusal != nil {
-		answer.SetStatusCode(fasthttp.StatusBadGateway)
+	nestedReq, nestedResp := newRequest(), &fasthttp.Response{}
+	carrier.Stamp(l.key, &a, nestedReq, deadline)
+	if refusal := l.next.Dispatch(context.Background(), nestedReq, nestedResp); refusal != nil {
+		nestedResp.SetStatusCode(fasthttp.StatusBadGateway)
 	}
-	resp.SetStatusCode(answer.StatusCode())
+	resp.SetStatusCode(nestedResp.StatusCode())
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return carrier.Outcome{Spent: l.spent[a.Call]}
 }
 
-// awaitAnswer returns the answer, or that the try was cancelled before.
+// awaitAnswer returns the answer, or a cancelled outcome if the attempt is cancelled first.
 func (l *level) awaitAnswer(ctx context.Context) carrier.Outcome {
 	if ctx.Done() == nil {
 		return l.answer()
@@ -116,18 +116,18 @@
 	var chain []*level
 	for i := range depth {
 		l := &level{answer: answer, key: key, spent: make(map[string]bool)}
-		// The context of a call is spent at the node above, which runs the calling upstream.
-		above := l
+		// A failed nested call is reported to the node of the calling upstream, one level above.
+		parent := l
 		if i > 0 {
-			above = chain[i-1]
-			above.next = l
+			parent = chain[i-1]
+			parent.next = l
 		}
 		l.Dispatcher = New(Config{
 			Clock: timekeeper.System{},
 			FailedBelow: func(call string) {
-				above.mu.Lock()
-				defer above.mu.Unlock()
-				above.spent[call] = true
+				parent.mu.Lock()
+				defer parent.mu.Unlock()
+				parent.spent[call] = true
 			},
 			Interpreter: interpreter.Native{},
 			Meter:       meter.New(),
@@ -144,31 +144,31 @@
 	return chain
 }
 
-func lost() carrier.Outcome {
+func lostOutcome() carrier.Outcome {
 	return carrier.Outcome{Lost: true, Refusal: refuser.Unknown(refuser.ReasonUpstreamLost, "outage")}
 }
 
-// TestRetriesDoNotAmplifyAnOutage counts the tries at each level of calls 6 deep while the last
-// service is out.
+// TestRetriesDoNotAmplifyAnOutage guards against retries that multiply over the levels of nested calls. It counts
+// the attempts at each of up to 6 levels while the last service is down.
 func TestRetriesDoNotAmplifyAnOutage(t *testing.T) {
 	const calls = 5000
 	for _, depth := range []int{1, 6} {
-		chain := newChain(t, depth, lost)
+		chain := newChain(t, depth, lostOutcome)
 		for range calls {
 			chain[0].Dispatch(context.Background(), newRequest(), &fasthttp.Response{})
 		}
 		for i, l := range chain {
 			amplification := float64(l.tries) / calls
-			t.Logf("%d deep, level %d: %.3f tries a call", depth, i+1, amplification)
+			t.Logf("depth %d, level %d: %.3f attempts per call", depth, i+1, amplification)
 			if amplification > 1.1+1e-9 {
-				t.Errorf("%d deep, level %d: %.3f tries a call, want at most 1.1", depth, i+1, amplification)
+				t.Errorf("depth %d, level %d: %.3f attempts per call, want at most 1.1", depth, i+1, amplification)
 			}
 		}
 	}
 }
 
-// TestRefusalsForWantOfRoomAreFinal checks that an overload is not answered with more tries.
-func TestRefusalsForWantOfRoomAreFinal(t *testing.T) {
+// TestCapacityRefusalsAreNotRetried guards against retries that add to an overload.
+func TestCapacityRefusalsAreNotRetried(t *testing.T) {
 	for _, reason := range []refuser.Reason{refuser.ReasonQueueFull, refuser.ReasonDeadline, refuser.ReasonPoison} {
 		chain := newChain(t, 1, func() carrier.Outcome {
 			return carrier.Outcome{Refusal: refuser.New(reason, "full")}
@@ -179,7 +179,7 @@
 			}
 		}
 		if chain[0].tries != 100 {
-			t.Errorf("%s: %d tries for 100 calls", reason, chain[0].tries)
+			t.Errorf("%s: %d attempts for 100 calls", reason, chain[0].tries)
 		}
 		if got := chain[0].Meter.RefusalCount(reason); got != 100 {
 			t.Errorf("%s: counted %d refusals", reason, got)
@@ -187,13 +187,13 @@
 	}
 }
 
-// TestRetryAfterOneFailure checks that a single failure is not seen by the caller.
-func TestRetryAfterOneFailure(t *testing.T) {
+// TestSingleFailureIsRetried checks that the caller does not see a single failed attempt.
+func TestSingleFailureIsRetried(t *testing.T) {
 	tries := 0
 	chain := newChain(t, 1, func() carrier.Outcome {
 		tries++
 		if tries == 40 {
-			return lost()
+			return lostOutcome()
 		}
 		return carrier.Outcome{}
 	})
@@ -207,9 +207,9 @@
 	}
 }
 
-// TestHedgeCutsTheTail lets one of 200 tries hang for a second. The caller waits for the high
-// quantile and the hedge instead.
-func TestHedgeCutsTheTail(t *testing.T) {
+// TestHedgeReducesTailLatency makes one of 200 attempts hang for a second. With hedges the caller waits only for
+// the high latency quantile and the hedge.
+func TestHedgeReducesTailLatency(t *testing.T) {
 	for _, hedged := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			var tries atomic.Int64
@@ -231,16 +231,16 @@
 				}
 				times = append(times, time.Since(started))
 			}
-			// The hung tries end before the bubble does.
+			// Let the hanging attempts end before the synctest bubble does.
 			time.Sleep(2 * time.Second)
 			slices.Sort(times)
 			p999 := times[len(times)*999/1000]
-			t.Logf("hedged %t: p99.9 %s, %.3f tries a call", hedged, p999, float64(tries.Load())/2000)
+			t.Logf("hedged %t: p99.9 %s, %.3f attempts per call", hedged, p999, float64(tries.Load())/2000)
 			if hedged && p999 > 100*time.Millisecond {
 				t.Errorf("p99.9 is %s with hedges", p999)
 			}
 			if tries.Load() > 2200 {
-				t.Errorf("%d tries for 2000 calls, want at most 1.1 a call", tries.Load())
+				t.Errorf("%d attempts for 2000 calls, want at most 1.1 per call", tries.Load())
 			}
 		})
 	}
--- a/internal/dispatcher/headers.go
+++ b/internal/dispatcher/headers.go
@@ -11,21 +11,21 @@
 
 // Headers that callers can set.
 const (
-	// HeaderIdempotencyKey names a request that a caller may repeat (IETF draft
+	// HeaderIdempotencyKey identifies a request that the caller may send again (IETF draft
 	// idempotency-key-header).
 	HeaderIdempotencyKey = "Idempotency-Key"
 )
 
 const maxKeyBytes = 255
 
-// hopByHop are the headers that end at each hop (RFC 9110, section 7.6.1).
+// hopByHop are the headers that are not forwarded beyond one hop (RFC 9110, section 7.6.1).
 var hopByHop = []string{
 	"Connection", "Expect", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Upgrade",
 }
 
-// strip removes the headers that end at this hop and those that only nodes may set.
-func strip(req *fasthttp.Request) {
+// stripHeaders removes hop-by-hop headers, those named in Connection, and headers that only nodes may set.
+func stripHeaders(req *fasthttp.Request) {
 	for _, name := range strings.Split(string(req.Header.Peek("Connection")), ",") {
 		if name = strings.TrimSpace(name); name != "" {
 			req.Header.Del(name)
@@ -34,19 +34,20 @@
 	for _, name := range hopByHop {
 		req.Header.Del(name)
 	}
-	var own []string
+	var nodeHeaders []string
 	for name := range req.Header.All() {
 		if strings.HasPrefix(strings.ToLower(string(name)), strings.ToLower(carrier.HeaderPrefix)) {
-			own = append(own, string(name))
+			nodeHeaders = append(nodeHeaders, string(name))
 		}
 	}
-	for _, name := range own {
+	for _, name := range nodeHeaders {
 		req.Header.Del(name)
 	}
 }
 
-// readKey takes the idempotency key.
-func (c *Call) readKey(req *fasthttp.Request) *refuser.Refusal {
+// readIdempotencyKey reads the idempotency key without surrounding quotes and spaces. It returns a refusal if the
+// key is longer than maxKeyBytes.
+func (c *Call) readIdempotencyKey(req *fasthttp.Request) *refuser.Refusal {
 	c.Key = strings.Trim(string(req.Header.Peek(HeaderIdempotencyKey)), `" `)
 	if len(c.Key) > maxKeyBytes {
 		return refuser.New(refuser.ReasonBadRequest, "the idempotency key is longer than 255 bytes")
@@ -54,14 +55,14 @@
 	return nil
 }
 
-// pathOf returns the path of the request as it was sent, without the query.
-func pathOf(req *fasthttp.Request) string {
-	target := string(req.Header.RequestURI())
-	if _, rest, found := strings.Cut(target, "://"); found && !strings.HasPrefix(target, "/") {
-		// The absolute form of RFC 9112, section 3.2.2.
+// requestPath returns the path of the request as sent by the caller, without normalisation and query.
+func requestPath(req *fasthttp.Request) string {
+	requestTarget := string(req.Header.RequestURI())
+	if _, rest, found := strings.Cut(requestTarget, "://"); found && !strings.HasPrefix(requestTarget, "/") {
+		// The request target is in absolute form (RFC 9112, section 3.2.2).
 		_, path, _ := strings.Cut(rest, "/")
-		target = "/" + path
+		requestTarget = "/" + path
 	}
-	path, _, _ := strings.Cut(target, "?")
+	path, _, _ := strings.Cut(requestTarget, "?")
 	return path
 }
--- a/internal/dispatcher/hedge.go
+++ b/internal/dispatcher/hedge.go
@@ -14,210 +14,216 @@
 )
 
 const (
-	// hedgeFloor is how many usual latencies a try gets at least before the next one begins.
-	hedgeFloor    = 2.5
-	hedgeQuantile = 0.98
-	// hedgeRoom is how many usual latencies a second try needs to be in time.
-	hedgeRoom     = 1.5
-	maxHedgeTries = 3
-	minHedgeDelay = 5 * time.Millisecond
-	usualQuantile = 0.5
+	// minHedgeDelayFactor is the minimum delay of a hedge that is sent before the high quantile to meet the target
+	// latency, in median latencies.
+	minHedgeDelayFactor = 2.5
+	hedgeQuantile       = 0.98
+	// hedgeDurationFactor is the time allowed for a hedge to meet the target latency, in median latencies.
+	hedgeDurationFactor = 1.5
+	maxHedgeTries       = 3
+	minHedgeDelay       = 5 * time.Millisecond
+	medianQuantile      = 0.5
 )
 
-// latencies estimates the usual and the high latency of each route's answers.
-type latencies struct {
+// latencyEstimates holds latency estimates for each pair of service and route. It is safe for concurrent use.
+type latencyEstimates struct {
 	mu     sync.Mutex
-	routes map[string]*latency
+	routes map[string]*routeLatency
 }
 
-// latency estimates quantiles of one route.
-type latency struct {
-	high  *quantiler.Estimate
-	usual *quantiler.Estimate
-	// work is the usual time at an upstream: what an answer takes where no queue is before it.
-	work *quantiler.Estimate
+// routeLatency estimates latency quantiles of one route's responses.
+type routeLatency struct {
+	high   *quantiler.Estimate
+	median *quantiler.Estimate
+	// serviceTime is the median time at an upstream: the latency of a response without queueing.
+	serviceTime *quantiler.Estimate
 }
 
-// observe takes an answer's whole latency and the part of it at the upstream.
-func (l *latency) observe(taken, used time.Duration) {
-	l.high.Observe(taken)
-	l.usual.Observe(taken)
-	l.work.Observe(used)
+// observe records the total latency of a response and the part of it spent at the upstream.
+func (l *routeLatency) observe(total, serviceTime time.Duration) {
+	l.high.Observe(total)
+	l.median.Observe(total)
+	l.serviceTime.Observe(serviceTime)
 }
 
-func (l *latencies) of(call *Call) *latency {
+func (l *latencyEstimates) forCall(call *Call) *routeLatency {
 	key := call.Service + "/" + call.Route
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.routes == nil {
-		l.routes = make(map[string]*latency)
+		l.routes = make(map[string]*routeLatency)
 	}
 	estimate, ok := l.routes[key]
 	if !ok {
-		estimate = &latency{
-			high: quantiler.New(hedgeQuantile), usual: quantiler.New(usualQuantile), work: quantiler.New(usualQuantile),
+		estimate = &routeLatency{
+			high: quantiler.New(hedgeQuantile), median: quantiler.New(medianQuantile), serviceTime: quantiler.New(medianQuantile),
 		}
 		l.routes[key] = estimate
 	}
 	return estimate
 }
 
-// hedge is a second try that starts when the first is overdue or its upstream has turned slow.
+// hedge is a second attempt that starts if the first is overdue or if its upstream has become slow.
 type hedge struct {
 	call    *Call
 	exclude []string
 	outcome chan carrier.Outcome
 	req     *fasthttp.Request
 	resp    *fasthttp.Response
-	// stopFirst cancels the first try.
-	stopFirst context.CancelFunc
-	target    string
-	ctx       context.Context
+	// cancelFirst cancels the first attempt.
+	cancelFirst context.CancelFunc
+	// firstTarget is the node of the first attempt.
+	firstTarget string
+	ctx         context.Context
 
-	mu      sync.Mutex
-	over    bool
-	started bool
+	mu        sync.Mutex
+	firstDone bool
+	started   bool
 }
 
-// hedges are the second tries that may be begun, by the node of the first.
-type hedges struct {
+// pendingHedges holds the hedges of running first attempts, keyed by the node of the first attempt.
+type pendingHedges struct {
 	mu       sync.Mutex
 	byTarget map[string]map[*hedge]struct{}
 }
 
-func (h *hedges) add(one *hedge) {
+func (h *pendingHedges) add(entry *hedge) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.byTarget == nil {
 		h.byTarget = make(map[string]map[*hedge]struct{})
 	}
-	if h.byTarget[one.target] == nil {
-		h.byTarget[one.target] = make(map[*hedge]struct{})
+	if h.byTarget[entry.firstTarget] == nil {
+		h.byTarget[entry.firstTarget] = make(map[*hedge]struct{})
 	}
-	h.byTarget[one.target][one] = struct{}{}
+	h.byTarget[entry.firstTarget][entry] = struct{}{}
 }
 
-func (h *hedges) remove(one *hedge) {
+func (h *pendingHedges) remove(entry *hedge) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	delete(h.byTarget[one.target], one)
-	if len(h.byTarget[one.target]) == 0 {
-		delete(h.byTarget, one.target)
+	delete(h.byTarget[entry.firstTarget], entry)
+	if len(h.byTarget[entry.firstTarget]) == 0 {
+		delete(h.byTarget, entry.firstTarget)
 	}
 }
 
-func (h *hedges) at(target string) []*hedge {
+func (h *pendingHedges) forTarget(target string) []*hedge {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	var all []*hedge
-	for one := range h.byTarget[target] {
-		all = append(all, one)
+	var pending []*hedge
+	for entry := range h.byTarget[target] {
+		pending = append(pending, entry)
 	}
-	return all
+	return pending
 }
 
-// LoadSeen takes a node's word on the load of its upstream. When that has turned slow, the calls that
-// wait for it try elsewhere.
+// LoadSeen records a node's report of the load of its upstream. If the upstream has become slow, the calls that
+// wait for it are hedged.
 func (d *Dispatcher) LoadSeen(target string, load carrier.Load) {
-	if !d.Targets.LoadSeen(target, load) {
+	if !d.Targets.ObserveLoad(target, load) {
 		return
 	}
-	for _, h := range d.hedges.at(target) {
-		// A relaxed call has time to wait for the end of the slow span; its timer looks after it.
+	for _, h := range d.hedges.forTarget(target) {
+		// A relaxed call has time to wait until the upstream is fast again; its timer still starts a hedge.
 		if !d.need(h.call).Relaxed {
 			go d.runHedge(h, meter.RetrySlow)
 		}
 	}
 }
 
-// hedgeDelay returns after what time the first try of a call is overdue, or zero while too little is
-// known: at the high quantile of its route, or earlier if a second try would not be in time any more.
+// hedgeDelay returns the time after which the first attempt of a call is overdue: the high latency quantile of
+// its route, or less if a hedge would otherwise miss the target latency. While there are too few samples it
+// returns the target latency, or zero if the route sets none.
 func (d *Dispatcher) hedgeDelay(call *Call) time.Duration {
-	known := d.latencies.of(call)
-	high, usual := known.high.Value(), known.usual.Value()
-	if call.Target == 0 {
+	estimates := d.latencies.forCall(call)
+	high, median := estimates.high.Value(), estimates.median.Value()
+	if call.TargetLatency == 0 {
 		return high
 	}
 	if high == 0 {
-		return call.Target
+		return call.TargetLatency
 	}
-	last := call.Target - time.Duration(hedgeRoom*float64(usual))
-	return min(high, max(last, time.Duration(hedgeFloor*float64(usual))))
+	latestStart := call.TargetLatency - time.Duration(hedgeDurationFactor*float64(median))
+	return min(high, max(latestStart, time.Duration(minHedgeDelayFactor*float64(median))))
 }
 
-// tryHedged makes a try, and a second one at another target if the first is overdue or its upstream
-// turns slow. The first good answer wins and the other try is cancelled.
-func (d *Dispatcher) tryHedged(ctx context.Context, call *Call, j *Journey, target gossiper.Member, optional bool, req *fasthttp.Request, resp *fasthttp.Response) carrier.Outcome {
-	// Calls that other calls make are not hedged, because hedges at each level would multiply.
+// sendHedged sends an attempt, and a hedge to another target if the first attempt is overdue or its upstream
+// becomes slow. The first successful response wins and the other attempt is cancelled.
+func (d *Dispatcher) sendHedged(ctx context.Context, call *Call, j *Journey, target gossiper.Member, optional bool, req *fasthttp.Request, resp *fasthttp.Response) carrier.Outcome {
+	// Nested calls are not hedged, because the hedges of each level would multiply.
 	if !call.Idempotent || call.Depth > 0 || j.Runs+1 >= call.Attempts {
-		return d.try(ctx, call, target, d.attempt(call, j, optional), req, resp)
+		return d.sendAttempt(ctx, call, target, d.nextAttempt(call, j, optional), req, resp)
 	}
-	first, stopFirst := context.WithCancel(ctx)
-	defer stopFirst()
-	second, stopSecond := context.WithCancel(ctx)
-	defer stopSecond()
+	firstCtx, cancelFirst := context.WithCancel(ctx)
+	defer cancelFirst()
+	secondCtx, cancelSecond := context.WithCancel(ctx)
+	defer cancelSecond()
 	h := &hedge{
-		call: call, ctx: second, exclude: append([]string{target.Name}, j.failed...),
+		call: call, ctx: secondCtx, exclude: append([]string{target.Name}, j.excluded...),
 		outcome: make(chan carrier.Outcome, 1), req: &fasthttp.Request{}, resp: &fasthttp.Response{},
-		stopFirst: stopFirst, target: target.Name,
+		cancelFirst: cancelFirst, firstTarget: target.Name,
 	}
 	req.CopyTo(h.req)
 	d.hedges.add(h)
 	defer d.hedges.remove(h)
 	if delay := d.hedgeDelay(call); delay > 0 {
 		timer := d.Clock.AfterFunc(max(delay, minHedgeDelay), func() {
-			d.Targets.Overdue(h.target)
+			d.Targets.MarkOverdue(h.firstTarget)
 			d.runHedge(h, meter.RetryHedge)
 		})
 		defer timer.Stop()
 	}
-	outcome := d.try(first, call, target, d.attempt(call, j, optional), req, resp)
-	if !h.finish() {
+	outcome := d.sendAttempt(firstCtx, call, target, d.nextAttempt(call, j, optional), req, resp)
+	if !h.endFirst() {
 		return outcome
 	}
 	j.Hedged = true
-	if isGood(&outcome, resp) {
+	if isSuccess(&outcome, resp) {
 		return outcome
 	}
-	other := <-h.outcome
-	j.count(&other)
-	if isGood(&other, h.resp) || (outcome.IsNotRun() && !other.IsNotRun()) {
+	secondOutcome := <-h.outcome
+	j.countArrival(&secondOutcome)
+	if isSuccess(&secondOutcome, h.resp) || (outcome.IsNotRun() && !secondOutcome.IsNotRun()) {
 		h.resp.CopyTo(resp)
-		return other
+		return secondOutcome
 	}
 	return outcome
 }
 
-func isGood(outcome *carrier.Outcome, resp *fasthttp.Response) bool {
-	return outcome.Refusal == nil && !isErrorAnswer(resp)
+func isSuccess(outcome *carrier.Outcome, resp *fasthttp.Response) bool {
+	return outcome.Refusal == nil && !isErrorResponse(resp)
 }
 
-// finish marks the first try as over. It reports whether the second has started.
-func (h *hedge) finish() bool {
+// endFirst records that the first attempt has ended. It reports whether the hedge has started.
+func (h *hedge) endFirst() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.over = true
+	h.firstDone = true
 	return h.started
 }
 
-// begin reports whether the second try is to be made: the first is not over and no other one has begun.
-func (h *hedge) begin() bool {
+// start marks the hedge as started. It reports false if the first attempt has ended or the hedge has already
+// started.
+func (h *hedge) start() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.over || h.started {
+	if h.firstDone || h.started {
 		return false
 	}
 	h.started = true
 	return true
 }
 
-// runHedge makes the second try if the budget allows and a target takes it at once.
+// runHedge sends the hedge if the retry budget allows it. The attempt is optional, so that a target takes it only if
+// it can start it at once. If a target hands it back, or refuses it because of its upstream's limit on repeats,
+// runHedge picks another one, up to maxHedgeTries.
 func (d *Dispatcher) runHedge(h *hedge, reason meter.RetryReason) {
 	if !d.Retries.Spend(h.call.Neighbour) {
-		d.notRetried(h.call, h.target, meter.RetryRefusalBudget)
+		d.reportNotRetried(h.call, h.firstTarget, meter.RetryRefusalBudget)
 		return
 	}
-	if !h.begin() {
+	if !h.start() {
 		d.Retries.Refund(h.call.Neighbour)
 		return
 	}
@@ -225,17 +231,17 @@
 	for range maxHedgeTries {
 		target, ok := d.Targets.Pick(d.need(h.call), h.exclude)
 		if !ok {
-			outcome.Refusal = noUpstream()
+			outcome.Refusal = noUpstreamRefusal()
 			break
 		}
 		h.exclude = append(h.exclude, target.Name)
 		if d.Hedged != nil {
-			d.Hedged(h.call, h.target, target.Name, reason)
+			d.Hedged(h.call, h.firstTarget, target.Name, reason)
 		}
-		// The first try may have arrived.
-		attempt := d.newAttempt(h.call, h.call.tryAfter(1), true, true)
-		outcome = d.try(h.ctx, h.call, target.Member, attempt, h.req, h.resp)
-		if !isHandBack(&outcome) && !isOverBudget(&outcome) {
+		// The first attempt may have reached an upstream, so the hedge counts as a retry.
+		attempt := d.newAttempt(h.call, h.call.tryFor(1), true, true)
+		outcome = d.sendAttempt(h.ctx, h.call, target.Member, attempt, h.req, h.resp)
+		if !isHandedBack(&outcome) && !isOverBudget(&outcome) {
 			break
 		}
 	}
@@ -244,12 +250,12 @@
 	} else {
 		d.Retries.Refund(h.call.Neighbour)
 	}
-	good := isGood(&outcome, h.resp)
-	if good {
+	success := isSuccess(&outcome, h.resp)
+	if success {
 		d.Meter.Event("hedges_won")
 	}
 	h.outcome <- outcome
-	if good {
-		h.stopFirst()
+	if success {
+		h.cancelFirst()
 	}
 }
--- a/internal/dispatcher/notice_test.go
+++ b/internal/dispatcher/hedge_test.go
@@ -12,17 +12,17 @@
 	"github.com/marigoldrelay/marigoldrelay/internal/carrier"
 )
 
-// turning is a Targets whose upstream turns slow with each word on its load.
-type turning struct {
+// slowingTargets is a Targets whose upstream becomes slow with each load report.
+type slowingTargets struct {
 	*level
 }
 
-// LoadSeen implements Targets.
-func (turning) LoadSeen(string, carrier.Load) bool { return true }
+// ObserveLoad implements Targets.
+func (slowingTargets) ObserveLoad(string, carrier.Load) bool { return true }
 
-// TestNoticeBeginsASecondTry has a node tell that its upstream has turned slow while a call waits for
-// it. The call is answered by another one.
-func TestNoticeBeginsASecondTry(t *testing.T) {
+// TestSlowdownReportStartsHedge checks that a waiting call is hedged at once, and answered by the hedge, when its
+// target reports that its upstream has become slow.
+func TestSlowdownReportStartsHedge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var tries atomic.Int64
 		chain := newChain(t, 1, func() carrier.Outcome {
@@ -33,11 +33,11 @@
 			return carrier.Outcome{}
 		})
 		d := chain[0].Dispatcher
-		d.Targets = turning{chain[0]}
+		d.Targets = slowingTargets{chain[0]}
 		for range 100 {
 			d.Dispatch(context.Background(), newRequest(), &fasthttp.Response{})
 		}
-		// Only the notice can help: the timer would need twice the time.
+		// Only the report can start the hedge in time: the timer would take twice as long.
 		go func() {
 			time.Sleep(4 * time.Millisecond)
 			d.LoadSeen("target", carrier.Load{Slots: 12, Slowdown: 7})
--- a/internal/dispatcher/split.go
+++ b/internal/dispatcher/split.go
@@ -11,30 +11,30 @@
 // goldenRatio spreads its multiples evenly over the unit interval, whatever their number.
 const goldenRatio = 0.6180339887498949
 
-// split shares a route's requests out by weight. Each part keeps its share also over few requests, and
-// whether or not the parts have room.
+// split distributes a route's requests over services by weight. The shares also hold over few requests, and
+// whether or not the services have capacity. It is safe for concurrent use.
 type split struct {
-	count atomic.Uint64
-	parts []validator.Part
-	start float64
-	sum   float64
+	sequence    atomic.Uint64
+	parts       []validator.Part
+	offset      float64
+	totalWeight float64
 }
 
 func newSplit(parts []validator.Part) *split {
-	s := &split{parts: parts, start: rand.Float64()}
+	s := &split{parts: parts, offset: rand.Float64()}
 	for _, part := range parts {
-		s.sum += part.Weight
+		s.totalWeight += part.Weight
 	}
 	return s
 }
 
-// next returns the service that the next request goes to.
+// next returns the service for the next request.
 func (s *split) next() string {
-	_, at := math.Modf(s.start + goldenRatio*float64(s.count.Add(1)))
-	at *= s.sum
+	_, position := math.Modf(s.offset + goldenRatio*float64(s.sequence.Add(1)))
+	position *= s.totalWeight
 	for _, part := range s.parts {
-		at -= part.Weight
-		if at < 0 {
+		position -= part.Weight
+		if position < 0 {
 			return part.Service
 		}
 	}
--- a/internal/router/cheapest.go
+++ b/internal/router/cheapest.go
@@ -61,7 +61,7 @@
 }
 
 func (c *Candidate) cost(need Need) time.Duration {
-	target := need.Target
+	target := need.TargetLatency
 	if target == 0 {
 		target = defaultTarget
 	}
--- a/internal/router/cheapest_test.go
+++ b/internal/router/cheapest_test.go
@@ -11,7 +11,7 @@
 )
 
 // browse is the need of a call that a slow span makes late.
-var browse = Need{Service: "s", Target: 250 * time.Millisecond}
+var browse = Need{Service: "s", TargetLatency: 250 * time.Millisecond}
 
 // newCheapest knows two targets in the own data centre and one in another.
 func newCheapest() *Router {
@@ -42,21 +42,21 @@
 		if got := shares(r, browse); got["far"] > 0 || got["near-1"] < 300 || got["near-2"] < 300 {
 			t.Errorf("all well: %v", got)
 		}
-		if !r.LoadSeen("near-1", slow) || r.LoadSeen("near-1", slow) {
+		if !r.ObserveLoad("near-1", slow) || r.ObserveLoad("near-1", slow) {
 			t.Error("the turn to slow was not told once")
 		}
 		if got := shares(r, browse); got["near-2"] != 1000 {
 			t.Errorf("one near slow: %v", got)
 		}
-		r.LoadSeen("near-2", slow)
+		r.ObserveLoad("near-2", slow)
 		if got := shares(r, browse); got["far"] != 1000 {
 			t.Errorf("both near slow: %v", got)
 		}
-		relaxed := Need{Relaxed: true, Service: "s", Target: 1200 * time.Millisecond}
+		relaxed := Need{Relaxed: true, Service: "s", TargetLatency: 1200 * time.Millisecond}
 		if got := shares(r, relaxed); got["far"] > 0 {
 			t.Errorf("a call with time to spare left the data centre: %v", got)
 		}
-		r.LoadSeen("near-1", well)
+		r.ObserveLoad("near-1", well)
 		if got := shares(r, browse); got["near-1"] != 1000 {
 			t.Errorf("one near well again: %v", got)
 		}
@@ -73,13 +73,13 @@
 	r := newCheapest()
 	full := carrier.Load{Running: 12, Queued: 4, Slots: 12, Slowdown: 1}
 	for _, name := range []string{"near-1", "near-2"} {
-		r.LoadSeen(name, full)
+		r.ObserveLoad(name, full)
 	}
-	if choice, _ := r.Pick(browse, nil); choice.Name != "far" || !choice.Prompt {
+	if choice, _ := r.Pick(browse, nil); choice.Name != "far" || !choice.Responsive {
 		t.Errorf("the near ones are full: %+v", choice)
 	}
-	r.LoadSeen("far", full)
-	if choice, _ := r.Pick(browse, nil); choice.Prompt {
+	r.ObserveLoad("far", full)
+	if choice, _ := r.Pick(browse, nil); choice.Responsive {
 		t.Errorf("%s is full and counts as prompt", choice.Name)
 	}
 }
@@ -101,8 +101,8 @@
 func TestRarelyHeardTargets(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newCheapest()
-		r.LoadSeen("near-1", carrier.Load{Running: 11, Slots: 12, Slowdown: 1})
-		r.LoadSeen("near-2", carrier.Load{Running: 1, Slots: 12, Slowdown: 1})
+		r.ObserveLoad("near-1", carrier.Load{Running: 11, Slots: 12, Slowdown: 1})
+		r.ObserveLoad("near-2", carrier.Load{Running: 1, Slots: 12, Slowdown: 1})
 		time.Sleep(time.Second)
 		if got := shares(r, browse); got["near-2"] != 1000 {
 			t.Errorf("after a second: %v", got)
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -124,8 +124,8 @@
 	}
 	believed := &candidates[index]
 	return Choice{
-		Load: believed.load(), LoadAge: believed.ReportAge, Member: picked.Member, Others: others,
-		Prompt: believed.isPrompt(need), Slow: believed.Slow,
+		Load: believed.load(), LoadAge: believed.ReportAge, Member: picked.Member, Alternatives: others,
+		Responsive: believed.isPrompt(need), Slow: believed.Slow,
 	}, true
 }
 
@@ -134,8 +134,8 @@
 	// Relaxed is true where the answer comes in time even if the upstream is slow for a moment.
 	Relaxed bool
 	Service string
-	// Target is the time within which the answer is of full use; zero where none is set.
-	Target time.Duration
+	// TargetLatency is the time within which the response is fully useful; zero if none is set.
+	TargetLatency time.Duration
 }
 
 // Choice is a picked target.
@@ -146,10 +146,10 @@
 	Load    float64
 	LoadAge time.Duration
 	Slow    bool
-	// Prompt is true where the target is believed to have room and its usual speed.
-	Prompt bool
-	// Others is the number of further targets that could be picked.
-	Others int
+	// Responsive is true if the target is believed to have free slots and its usual speed.
+	Responsive bool
+	// Alternatives is the number of other targets that could have been picked.
+	Alternatives int
 }
 
 // usable returns the service's targets that are not excluded and, unless resting is true, not
@@ -327,8 +327,8 @@
 	}
 }
 
-// LoadSeen takes a target's word on its load. It reports whether the upstream has turned slow.
-func (r *Router) LoadSeen(name string, load carrier.Load) bool {
+// ObserveLoad records a load report of the target. It reports whether the target's upstream has become slow.
+func (r *Router) ObserveLoad(name string, load carrier.Load) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t, ok := r.targets[name]
@@ -341,8 +341,8 @@
 	return !wasSlow && now.Before(t.slowUntil)
 }
 
-// Overdue notes that an answer of the target is overdue.
-func (r *Router) Overdue(name string) {
+// MarkOverdue records that a response of the target is overdue.
+func (r *Router) MarkOverdue(name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if t, ok := r.targets[name]; ok {
