--- a/internal/carrier/attempt.go
+++ b/internal/carrier/attempt.go
@@ -1,5 +1,4 @@
-// Package carrier takes attempts from one node to another and finds out their outcome when a
-// connection is lost.
+// Package carrier sends attempts from one node to another, and queries their outcome if a connection is lost.
 package carrier
 
 import (
@@ -19,7 +18,7 @@
 	"github.com/marigoldrelay/marigoldrelay/internal/signer"
 )
 
-// Headers between nodes. Those that start with HeaderPrefix are removed from callers' requests.
+// Headers between nodes. Headers that start with HeaderPrefix are removed from callers' requests.
 const (
 	HeaderPrefix    = "Marigoldrelay-"
 	headerArrived   = "Marigoldrelay-Arrived"
@@ -34,10 +33,10 @@
 	headerUsed      = "Marigoldrelay-Used"
 )
 
-// ResolvePath is where a node's peer listener answers questions about attempts.
+// ResolvePath is the path at which a node's peer listener answers queries about attempts.
 const ResolvePath = "/marigoldrelay/resolve"
 
-// ErrUnsigned is returned for a request that no node of the deployment has signed.
+// ErrUnsigned is the error for a request without a valid signature of a node of the deployment.
 var ErrUnsigned = merry.Sentinel("request is not signed by a node")
 
 const (
@@ -45,66 +44,68 @@
 	purposeResolve = "resolve"
 )
 
-// Attempt is one try to run a caller's request at one node.
+// Attempt is one attempt to run a caller's request at one node. It is encoded in CBOR between nodes, with the
+// numbers of the tags as keys.
 type Attempt struct {
-	// Age is the time since the caller's request came to its entry node.
+	// Age is the time from the arrival of the caller's request at its entry node until the attempt was made.
 	Age time.Duration `cbor:"21,keyasint,omitempty"`
 	// Caller is the service on the VM where the call began.
 	Caller string `cbor:"1,keyasint,omitempty"`
-	// Call identifies the caller's request over all of its attempts.
+	// Call is the id of the caller's request, the same for all of its attempts.
 	Call string `cbor:"2,keyasint,omitempty"`
 	// RootCall is the id of the outermost call that this one is nested in, or empty.
 	RootCall string `cbor:"3,keyasint,omitempty"`
-	// Depth is the number of calls above this one.
+	// Depth is the number of calls that this one is nested in.
 	Depth int `cbor:"4,keyasint,omitempty"`
-	// Grant names the slot that the receiver holds for the attempt; zero for none.
+	// Grant identifies the slot that the receiver has reserved for the attempt; zero for none.
 	Grant uint64 `cbor:"5,keyasint,omitempty"`
-	// HandedOn is true for an attempt that another node of the service could not take at once.
+	// HandedOn is true if another node of the service could not start the attempt at once, and for hedges.
 	HandedOn   bool `cbor:"6,keyasint,omitempty"`
 	Idempotent bool `cbor:"7,keyasint,omitempty"`
-	// Incarnation is the receiver's incarnation that the attempt is meant for.
+	// Incarnation is the incarnation of the receiver that the attempt is sent to.
 	Incarnation uint64 `cbor:"8,keyasint,omitempty"`
 	// Key is the caller's idempotency key, or empty.
 	Key       string `cbor:"9,keyasint,omitempty"`
 	Neighbour string `cbor:"10,keyasint,omitempty"`
-	// Optional is true where the sender has another node to try: the receiver hands the attempt back if
-	// it can't begin it at once on an upstream that is as fast as usual.
+	// Optional is true if the sender has another node to try. The receiver then hands the attempt back unless it
+	// can start it at once on an upstream that has its usual speed.
 	Optional bool   `cbor:"11,keyasint,omitempty"`
 	Rank     string `cbor:"12,keyasint,omitempty"`
-	// Relaxed is true where the answer comes in time even if the upstream is slow for a moment.
+	// Relaxed is true if the response will be in time even if the upstream is slow for a short period.
 	Relaxed bool `cbor:"13,keyasint,omitempty"`
-	// Request is the id that the caller gave its request, or empty.
+	// Request is the request id that the caller set, or empty.
 	Request string `cbor:"14,keyasint,omitempty"`
 	// Sender and Sequence identify the attempt.
 	Sender   string `cbor:"15,keyasint,omitempty"`
 	Sequence uint64 `cbor:"16,keyasint,omitempty"`
 	Service  string `cbor:"17,keyasint,omitempty"`
-	// Timeout is the time left until the deadline when the attempt was sent.
+	// Timeout is the time from the sending of the attempt until its deadline.
 	Timeout time.Duration `cbor:"18,keyasint,omitempty"`
-	// Useful is how long the attempt may wait for its start to be answered in time; zero where no target
-	// latency is set.
+	// Useful is how long the attempt can wait to start and still be answered in time; zero if the route sets no
+	// target latency.
 	Useful time.Duration `cbor:"19,keyasint,omitempty"`
 	Try    Try           `cbor:"20,keyasint,omitempty"`
 }
 
-// Try tells whether an arrival of the attempt at an upstream is the first of its request.
+// Try is the kind of an attempt: whether its arrival at an upstream is the first of its request.
 type Try int
 
 // The values of Try.
 const (
+	// TryFirst is an attempt of a request that no upstream has received before.
 	TryFirst Try = iota
 	// TryRetry is an attempt of a request that an upstream may have received before.
 	TryRetry
-	// TryBelowFurther is an attempt of a call that an upstream makes while it runs a further try.
+	// TryBelowFurther is an attempt of a call that an upstream makes while it runs a retry.
 	TryBelowFurther
 )
 
-// Tries returns every value.
+// Tries returns all values of Try in order.
 func Tries() []Try {
 	return []Try{TryFirst, TryRetry, TryBelowFurther}
 }
 
-// String returns the name of the value in logs and metrics.
+// String returns the name of the value as used in logs and metrics.
 func (t Try) String() string {
 	switch t {
 	case TryRetry:
@@ -116,21 +117,21 @@
 	}
 }
 
-// ID returns the identity of the attempt.
+// ID returns the identity of the attempt: its sender and sequence number.
 func (a *Attempt) ID() recorder.ID {
 	return recorder.ID{Sender: a.Sender, Sequence: a.Sequence}
 }
 
-func (a *Attempt) echo() string {
+func (a *Attempt) echoValue() string {
 	return a.Sender + "/" + strconv.FormatUint(a.Sequence, 10)
 }
 
-// Load is what a node tells about its upstream with each answer.
+// Load is the report on its upstream's load that a node sends with each outcome.
 type Load struct {
-	// Best is the part of its slots with which the upstream gets most done; zero where its node has not
-	// learned that.
+	// Best is the fraction of its slots at which the upstream has the highest throughput; zero if its node has
+	// not learned that yet.
 	Best float64 `json:"best,omitempty"`
-	// Slowdown is how much longer than usual work takes at the upstream; zero where it is not known.
+	// Slowdown is the ratio of the upstream's current to its usual service time; zero if unknown.
 	Slowdown float64 `json:"slowdown,omitempty"`
 	// Latency is the mean service time of recent requests.
 	Latency time.Duration `json:"latency"`
@@ -139,46 +140,47 @@
 	Slots   int           `json:"slots"`
 }
 
-// slowFactor is the slowdown from which an upstream counts as slow; one that has just started is about
-// twice as slow for longer than a request can wait.
-const slowFactor = 3.0
+// slowThreshold is the slowdown from which an upstream counts as slow. It is above 2 because an upstream that has
+// just started is about twice as slow as usual, for longer than a request can wait.
+const slowThreshold = 3.0
 
-// IsSlow reports whether work at the upstream takes much longer than usual.
+// IsSlow reports whether the upstream takes much longer than usual: at least slowThreshold times as long.
 func (l Load) IsSlow() bool {
-	return l.Slowdown >= slowFactor
+	return l.Slowdown >= slowThreshold
 }
 
-func bodySum(req *fasthttp.Request) []byte {
-	sum := xxhash.Sum64(req.Body())
-	return strconv.AppendUint(nil, sum, 16)
+func bodyHash(req *fasthttp.Request) []byte {
+	hash := xxhash.Sum64(req.Body())
+	return strconv.AppendUint(nil, hash, 16)
 }
 
-// seal writes the attempt and its signature into the headers of out.
-func seal(key *signer.Signer, a *Attempt, out *fasthttp.Request) error {
-	packed, err := cbor.Marshal(a)
+// signAttempt writes the attempt and its signature into the headers of out. The signature covers the attempt and
+// the method, URI and body of out.
+func signAttempt(key *signer.Signer, a *Attempt, out *fasthttp.Request) error {
+	data, err := cbor.Marshal(a)
 	if err != nil {
 		return err
 	}
-	meta := base64.RawStdEncoding.AppendEncode(nil, packed)
-	out.Header.SetBytesV(headerAttempt, meta)
-	out.Header.Set(headerSignature, key.Hex(purposeAttempt, meta, out.Header.Method(), out.Header.RequestURI(), bodySum(out)))
+	encoded := base64.RawStdEncoding.AppendEncode(nil, data)
+	out.Header.SetBytesV(headerAttempt, encoded)
+	out.Header.Set(headerSignature, key.Hex(purposeAttempt, encoded, out.Header.Method(), out.Header.RequestURI(), bodyHash(out)))
 	return nil
 }
 
-// Open verifies a request from a peer, removes the headers between nodes from it and returns the
-// attempt. The error wraps ErrUnsigned.
+// Open verifies the signature of a request from a peer, removes the attempt's headers from it and returns the
+// attempt. The error wraps ErrUnsigned, except for an attempt that is signed but not valid base64.
 func Open(key *signer.Signer, req *fasthttp.Request) (*Attempt, error) {
-	meta := req.Header.Peek(headerAttempt)
+	encoded := req.Header.Peek(headerAttempt)
 	signature := string(req.Header.Peek(headerSignature))
-	if !key.VerifyHex(signature, purposeAttempt, meta, req.Header.Method(), req.Header.RequestURI(), bodySum(req)) {
+	if !key.VerifyHex(signature, purposeAttempt, encoded, req.Header.Method(), req.Header.RequestURI(), bodyHash(req)) {
 		return nil, ErrUnsigned
 	}
 	var a Attempt
-	packed, err := base64.RawStdEncoding.AppendDecode(nil, meta)
+	data, err := base64.RawStdEncoding.AppendDecode(nil, encoded)
 	if err != nil {
 		return nil, err
 	}
-	if err := cbor.Unmarshal(packed, &a); err != nil {
+	if err := cbor.Unmarshal(data, &a); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrUnsigned, err)
 	}
 	req.Header.Del(headerAttempt)
@@ -186,7 +188,7 @@
 	return &a, nil
 }
 
-// wireRefusal is a refusal between nodes.
+// wireRefusal is the JSON form of a refusal between nodes.
 type wireRefusal struct {
 	Reason     refuser.Reason `json:"reason"`
 	NotRun     refuser.NotRun `json:"not-run"`
@@ -194,7 +196,8 @@
 	Detail     string         `json:"detail,omitempty"`
 }
 
-// Seal marks resp as the outcome of the attempt for the peer that sent it.
+// Seal writes the outcome of the attempt into the headers of resp, for the peer that sent the attempt. If the outcome
+// is a refusal, it replaces the response.
 func Seal(a *Attempt, resp *fasthttp.Response, outcome Outcome) {
 	if outcome.Refusal != nil {
 		resp.Reset()
@@ -209,7 +212,7 @@
 	if outcome.Spent {
 		resp.Header.Set(headerSpent, "1")
 	}
-	resp.Header.Set(headerEcho, a.echo())
+	resp.Header.Set(headerEcho, a.echoValue())
 	resp.Header.Set(headerUsed, strconv.FormatInt(int64(outcome.Used), 10))
 	load := outcome.Load
 	resp.Header.Set(headerLoad, fmt.Sprintf("%d %d %d %d %.2f %.2f", load.Running, load.Queued, load.Slots, load.Latency, load.Slowdown, load.Best))
@@ -217,38 +220,39 @@
 
 // Outcome is how an attempt ended.
 type Outcome struct {
-	// Arrived is true where the upstream got the request, also if it has not run it.
+	// Arrived is true if the upstream received the request or may have, even if it has not run it.
 	Arrived bool
 	Load    Load
-	// Lost is true when an idempotent attempt's outcome did not arrive.
+	// Lost is true if the outcome of an idempotent attempt did not arrive.
 	Lost bool
-	// Refusal is nil when the upstream has answered.
+	// Refusal is nil if the upstream has responded.
 	Refusal *refuser.Refusal
-	// Spent is true when a call below this one failed and must not be retried again above.
+	// Spent is true if a call nested in this one has failed after its own retries, so that this one must not be
+	// retried as well.
 	Spent bool
-	// Used is the time that the upstream took.
+	// Used is the time spent at the upstream.
 	Used time.Duration
 }
 
-// Reached reports whether an upstream has got the request, or may have.
+// Reached reports whether an upstream received the request or may have.
 func (o *Outcome) Reached() bool {
 	return o.Arrived || o.Lost
 }
 
-// IsNotRun reports whether the attempt has certainly not run.
+// IsNotRun reports whether the attempt is known not to have run.
 func (o *Outcome) IsNotRun() bool {
 	return o.Refusal != nil && o.Refusal.IsNotRun()
 }
 
-// IsRefusedAs reports whether the attempt was refused for the reason.
+// IsRefusedAs reports whether the attempt was refused for the given reason.
 func (o *Outcome) IsRefusedAs(reason refuser.Reason) bool {
 	return o.Refusal != nil && o.Refusal.Reason == reason
 }
 
-// unseal reads the outcome from a peer's answer and removes the headers between nodes from it. It
-// reports false when the answer belongs to another attempt.
-func unseal(a *Attempt, resp *fasthttp.Response) (Outcome, bool) {
-	if string(resp.Header.Peek(headerEcho)) != a.echo() {
+// readOutcome reads the outcome from a peer's response and removes the outcome's headers. It reports false if the
+// response belongs to another attempt or its refusal can't be parsed.
+func readOutcome(a *Attempt, resp *fasthttp.Response) (Outcome, bool) {
+	if string(resp.Header.Peek(headerEcho)) != a.echoValue() {
 		return Outcome{}, false
 	}
 	outcome := Outcome{Load: parseLoad(string(resp.Header.Peek(headerLoad)))}
@@ -270,7 +274,7 @@
 	return outcome, true
 }
 
-// parseLoad returns the zero load for a text that is not one.
+// parseLoad parses the load header. It returns the zero Load if the text is not valid.
 func parseLoad(text string) Load {
 	var load Load
 	var latency int64
--- a/internal/carrier/carrier.go
+++ b/internal/carrier/carrier.go
@@ -24,22 +24,24 @@
 )
 
 const (
-	// grace is how much longer than the receiver the sender waits, so that it hears the refusal.
-	grace = 100 * time.Millisecond
-	// peerIdleTime is half of how long a node keeps idle connections of others open: in a large fleet a
-	// node sends to the same other one every few seconds only.
-	peerIdleTime   = 30 * time.Second
-	resolvePause   = 50 * time.Millisecond
-	resolveWait    = time.Second
-	resolveTimeout = resolveWait + time.Second
+	// responseGrace is how much longer than the receiver the sender waits, so that it gets the receiver's refusal.
+	// A response whose attempt is done has the same time to arrive.
+	responseGrace = 100 * time.Millisecond
+	// maxPeerIdleTime is how long an idle connection to a peer can be reused. It is half of the time for which a
+	// node keeps idle connections from its peers open. It is this long because in a large fleet a node sends to the
+	// same peer only every few seconds.
+	maxPeerIdleTime   = 30 * time.Second
+	resolveRetryDelay = 50 * time.Millisecond
+	maxResolveWait    = time.Second
+	resolveTimeout    = maxResolveWait + time.Second
 )
 
-// Counter counts named events.
+// Counter counts occurrences of named events.
 type Counter interface {
 	Event(name string)
 }
 
-// Members looks up what is known of a node.
+// Members looks up the membership record of a node. It reports false if the node is not known.
 type Members interface {
 	Member(name string) (gossiper.Member, bool)
 }
@@ -59,12 +61,12 @@
 }
 
 type peer struct {
-	patience *patience
-	pool     *forwarder.Pool
+	responseTime *responseTimeEstimate
+	pool         *forwarder.Pool
 }
 
-// New returns a carrier whose attempts are numbered under sender, which names the node and its
-// incarnation.
+// New returns a carrier. The sequence numbers of its attempts are unique to sender, which identifies the node and its
+// incarnation. The options apply to the connection pool of each peer.
 func New(clock timekeeper.Clock, key *signer.Signer, sender string, members Members, counter Counter, options ...forwarder.Option) *Carrier {
 	return &Carrier{
 		clock:   clock,
@@ -77,7 +79,7 @@
 	}
 }
 
-// Name gives the attempt the next identity of this node.
+// Name sets the attempt's sender and its next sequence number.
 func (c *Carrier) Name(a *Attempt) {
 	a.Sender = c.sender
 	a.Sequence = c.sequence.Add(1)
@@ -88,16 +90,16 @@
 	defer c.mu.Unlock()
 	p, ok := c.peers[address]
 	if !ok {
-		options := append([]forwarder.Option{forwarder.WithMaxIdleTime(peerIdleTime)}, c.options...)
-		p = &peer{patience: newPatience(), pool: forwarder.New(address, c.clock, options...)}
+		options := append([]forwarder.Option{forwarder.WithMaxIdleTime(maxPeerIdleTime)}, c.options...)
+		p = &peer{responseTime: newResponseTimeEstimate(), pool: forwarder.New(address, c.clock, options...)}
 		c.peers[address] = p
 	}
 	return p
 }
 
-// Send takes the request to the node and waits for the outcome until the deadline. An answer is
-// left in resp. The attempt is sent once; after a lost connection its outcome is asked for on a new
-// one, so that a refusal with not-run "true" is certain.
+// Send sends the request to the node and waits for the outcome until the deadline. A response is left in resp. The
+// attempt is sent once. If the connection is lost, the outcome of an attempt that is not idempotent is queried on a
+// new connection, so that a refusal with not-run "true" is certain.
 func (c *Carrier) Send(ctx context.Context, to gossiper.Member, a Attempt, req *fasthttp.Request, resp *fasthttp.Response, deadline time.Time) Outcome {
 	c.Name(&a)
 	a.Incarnation = to.Incarnation
@@ -107,58 +109,60 @@
 	defer fasthttp.ReleaseRequest(out)
 	req.Header.CopyTo(&out.Header)
 	out.SetBodyRaw(req.Body())
-	if err := seal(c.key, &a, out); err != nil {
+	if err := signAttempt(c.key, &a, out); err != nil {
 		return Outcome{Refusal: refuser.New(refuser.ReasonBadRequest, err.Error())}
 	}
 	p := c.peer(to.Peer)
 	err := p.pool.Do(ctx, &forwarder.Exchange{
-		Deadline: deadline.Add(grace),
-		Overdue:  c.overdue(ctx, to, &a, p),
-		Patience: p.patience.current(),
+		Deadline: deadline.Add(responseGrace),
+		Overdue:  c.overdueCheck(ctx, to, &a, p),
+		Patience: p.responseTime.timeout(),
 		Request:  out,
 		Response: resp,
 	})
 	if err == nil {
-		outcome, ok := unseal(&a, resp)
+		outcome, ok := readOutcome(&a, resp)
 		if ok {
-			p.patience.observe(c.clock.Now().Sub(started))
+			p.responseTime.observe(c.clock.Now().Sub(started))
 			resp.Header.ResetConnectionClose()
 			return outcome
 		}
 		c.counter.Event("foreign_answers")
 		err = forwarder.ErrLost
 	}
-	return c.settle(ctx, to, &a, err, resp, deadline)
+	return c.outcomeWithoutResponse(ctx, to, &a, err, resp, deadline)
 }
 
-// overdue returns the function that judges a connection whose answer is late: it asks on a new
-// connection whether the attempt still runs. If so, or if the node can't answer at all, the fault is
-// not the connection's. An attempt that has its outcome gets one more chance for the answer to come.
-func (c *Carrier) overdue(ctx context.Context, to gossiper.Member, a *Attempt, p *peer) func() time.Duration {
-	done := false
+// overdueCheck returns the function that decides about a connection whose response is overdue. The function queries
+// on a new connection whether the attempt is still running. If it is, or if the query fails as well, the connection
+// is not at fault and the function returns how long to wait further. If the attempt is done, its response gets
+// responseGrace to arrive, once. Zero means that the connection is faulty.
+func (c *Carrier) overdueCheck(ctx context.Context, to gossiper.Member, a *Attempt, p *peer) func() time.Duration {
+	graceGiven := false
 	return func() time.Duration {
 		c.counter.Event("overdue_answers")
-		if done {
+		if graceGiven {
 			return 0
 		}
 		resp := fasthttp.AcquireResponse()
 		defer fasthttp.ReleaseResponse(resp)
-		state, _, err := c.ask(ctx, to, a, resp, c.clock.Now().Add(resolveTimeout), 0)
+		state, _, err := c.queryState(ctx, to, a, resp, c.clock.Now().Add(resolveTimeout), 0)
 		switch {
 		case err != nil, state == recorder.StateRunning:
-			return p.patience.current()
+			return p.responseTime.timeout()
 		case state == recorder.StateDone, a.Idempotent:
-			// The outcome of an idempotent attempt is not kept: it may be done and on its way.
-			done = true
-			return grace
+			// Outcomes of idempotent attempts are not recorded: this one may be done and its response on the way.
+			graceGiven = true
+			return responseGrace
 		default:
 			return 0
 		}
 	}
 }
 
-// settle finds out how an attempt ended that brought no answer.
-func (c *Carrier) settle(ctx context.Context, to gossiper.Member, a *Attempt, err error, resp *fasthttp.Response, deadline time.Time) Outcome {
+// outcomeWithoutResponse returns the outcome of an attempt whose response did not arrive. err is the error of the
+// connection.
+func (c *Carrier) outcomeWithoutResponse(ctx context.Context, to gossiper.Member, a *Attempt, err error, resp *fasthttp.Response, deadline time.Time) Outcome {
 	resp.Reset()
 	if errors.Is(err, forwarder.ErrNotSent) {
 		return Outcome{Refusal: refuser.New(refuser.ReasonNoUpstream, err.Error())}
@@ -168,13 +172,13 @@
 		c.peer(to.Peer).pool.CloseIdle()
 	}
 	if a.Idempotent {
-		return lost(a, err)
+		return lostOutcome(a, err)
 	}
 	c.counter.Event("resolves")
 	return c.resolve(ctx, to, a, resp, deadline)
 }
 
-func lost(a *Attempt, err error) Outcome {
+func lostOutcome(a *Attempt, err error) Outcome {
 	reason := refuser.ReasonUpstreamLost
 	if errors.Is(err, forwarder.ErrTimeout) {
 		reason = refuser.ReasonDeadline
@@ -185,47 +189,49 @@
 	return Outcome{Arrived: true, Lost: a.Idempotent, Refusal: refuser.Unknown(reason, err.Error())}
 }
 
-// question asks a node about an attempt.
-type question struct {
+// resolveRequest is a query to a node about the state of an attempt.
+type resolveRequest struct {
 	Incarnation uint64        `json:"incarnation"`
 	Sender      string        `json:"sender"`
 	Sequence    uint64        `json:"sequence"`
 	Wait        time.Duration `json:"wait"`
 }
 
-// StateOtherIncarnation is answered by a node that was started after the attempt was sent.
+// StateOtherIncarnation is the state reported by a node that is not the incarnation the attempt was sent to, because
+// it was restarted.
 const StateOtherIncarnation recorder.State = "other-incarnation"
 
-// resolve asks the incarnation that the attempt was sent to, on new connections, until it knows.
+// resolve queries the node that the attempt was sent to, on new connections, until the outcome is known, the node's
+// incarnation is gone or the deadline has passed.
 func (c *Carrier) resolve(ctx context.Context, to gossiper.Member, a *Attempt, resp *fasthttp.Response, deadline time.Time) Outcome {
 	for c.clock.Now().Before(deadline) && ctx.Err() == nil {
-		state, outcome, err := c.ask(ctx, to, a, resp, deadline, resolveWait)
+		state, outcome, err := c.queryState(ctx, to, a, resp, deadline, maxResolveWait)
 		switch {
 		case errors.Is(err, syscall.ECONNREFUSED):
-			return unknown(a, "the node that had the request is gone")
+			return unknownOutcome(a, "the node that had the request is gone")
 		case err != nil:
 			if c.isReplaced(to) {
-				return unknown(a, "the node that had the request was replaced")
+				return unknownOutcome(a, "the node that had the request was replaced")
 			}
-			timekeeper.Sleep(ctx, c.clock, resolvePause)
+			timekeeper.Sleep(ctx, c.clock, resolveRetryDelay)
 		case state == recorder.StateDone:
 			return outcome
 		case state == recorder.StateBarred && a.Idempotent:
-			// The outcome of an idempotent attempt is not kept, so this one may have run.
-			return lost(a, forwarder.ErrLost)
+			// Outcomes of idempotent attempts are not recorded, so this one may have run.
+			return lostOutcome(a, forwarder.ErrLost)
 		case state == recorder.StateBarred:
 			return Outcome{Refusal: refuser.New(refuser.ReasonUpstreamLost, "the request did not reach the node and is barred there")}
 		case state == StateOtherIncarnation:
-			return unknown(a, "the node that had the request was restarted")
+			return unknownOutcome(a, "the node that had the request was restarted")
 		}
 	}
 	if ctx.Err() != nil {
-		return lost(a, forwarder.ErrCancelled)
+		return lostOutcome(a, forwarder.ErrCancelled)
 	}
-	return unknown(a, "the outcome was not known by the deadline")
+	return unknownOutcome(a, "the outcome was not known by the deadline")
 }
 
-func unknown(a *Attempt, detail string) Outcome {
+func unknownOutcome(a *Attempt, detail string) Outcome {
 	return Outcome{Arrived: true, Lost: a.Idempotent, Refusal: refuser.Unknown(refuser.ReasonOutcomeUnknown, detail)}
 }
 
@@ -234,9 +240,9 @@
 	return ok && (m.Incarnation != to.Incarnation || m.Status >= gossiper.StatusDead)
 }
 
-func (c *Carrier) ask(ctx context.Context, to gossiper.Member, a *Attempt, resp *fasthttp.Response, deadline time.Time, wait time.Duration) (recorder.State, Outcome, error) {
+func (c *Carrier) queryState(ctx context.Context, to gossiper.Member, a *Attempt, resp *fasthttp.Response, deadline time.Time, wait time.Duration) (recorder.State, Outcome, error) {
 	now := c.clock.Now()
-	q := question{
+	q := resolveRequest{
 		Incarnation: to.Incarnation,
 		Sender:      a.Sender,
 		Sequence:    a.Sequence,
@@ -278,39 +284,42 @@
 	if state != recorder.StateDone {
 		return state, Outcome{}, nil
 	}
-	answer := bytes.Clone(resp.Body())
-	if len(answer) == 0 {
-		return state, unknown(a, "the request has run; its answer is no longer kept"), nil
+	packed := bytes.Clone(resp.Body())
+	if len(packed) == 0 {
+		return state, unknownOutcome(a, "the request has run; its answer is no longer kept"), nil
 	}
 	resp.Reset()
-	if err := resp.Read(bufio.NewReader(bytes.NewReader(answer))); err != nil {
-		return state, unknown(a, "the request has run; its answer can't be read"), nil
+	if err := resp.Read(bufio.NewReader(bytes.NewReader(packed))); err != nil {
+		return state, unknownOutcome(a, "the request has run; its answer can't be read"), nil
 	}
-	outcome, ok := unseal(a, resp)
+	outcome, ok := readOutcome(a, resp)
 	if !ok {
-		return state, unknown(a, "the request has run; its answer does not match"), nil
+		return state, unknownOutcome(a, "the request has run; its answer does not match"), nil
 	}
 	return state, outcome, nil
 }
 
-// Pack returns the sealed response as bytes for a recorder.
+// Pack returns a response written by Seal as bytes, to be kept by a recorder.
 func Pack(resp *fasthttp.Response) []byte {
 	var packed bytes.Buffer
-	// Writes to a buffer do not fail.
+	// Writes to a bytes.Buffer do not fail.
 	_, _ = resp.WriteTo(&packed)
 	return packed.Bytes()
 }
 
-// Resolver answers what a node knows of attempts.
+// Resolver looks up the attempts that a node has received.
 type Resolver interface {
+	// Resolve returns the state of the attempt and, if it is done, its packed response, or nothing if that is no
+	// longer kept. If the attempt is running, done is closed when it ends. An attempt that was never received
+	// becomes barred: it is refused if it arrives later.
 	Resolve(id recorder.ID) (state recorder.State, answer []byte, done <-chan struct{})
 }
 
-// ServeResolve answers a peer's question about an attempt. It waits for a running one as long as
-// the question says.
+// ServeResolve answers a peer's query about an attempt. If the attempt is running, it waits for its end as long as the
+// query asks, but at most maxResolveWait. It refuses a query without a valid signature.
 func ServeResolve(key *signer.Signer, clock timekeeper.Clock, isOwn func(incarnation uint64) bool, r Resolver, req *fasthttp.Request, resp *fasthttp.Response) {
 	body := req.Body()
-	var q question
+	var q resolveRequest
 	signature := string(req.Header.Peek(headerSignature))
 	if !key.VerifyHex(signature, purposeResolve, body) || json.Unmarshal(body, &q) != nil {
 		refuser.New(refuser.ReasonUnauthorized, ErrUnsigned.Error()).Write(resp)
@@ -323,14 +332,14 @@
 	id := recorder.ID{Sender: strings.Clone(q.Sender), Sequence: q.Sequence}
 	state, answer, done := r.Resolve(id)
 	if state == recorder.StateRunning {
-		waitFor(clock, done, min(q.Wait, resolveWait))
+		waitUntilDone(clock, done, min(q.Wait, maxResolveWait))
 		state, answer, _ = r.Resolve(id)
 	}
 	resp.Header.Set(headerState, string(state))
 	resp.SetBody(answer)
 }
 
-func waitFor(clock timekeeper.Clock, done <-chan struct{}, limit time.Duration) {
+func waitUntilDone(clock timekeeper.Clock, done <-chan struct{}, limit time.Duration) {
 	expired := make(chan struct{})
 	timer := clock.AfterFunc(limit, func() { close(expired) })
 	defer timer.Stop()
--- a/internal/carrier/context.go
+++ b/internal/carrier/context.go
@@ -11,24 +11,26 @@
 	"github.com/marigoldrelay/marigoldrelay/internal/signer"
 )
 
-// HeaderContext carries the context of a call to its upstream. An upstream copies it into the calls
-// that it makes through the node beside it.
+// HeaderContext is the header with the context of a call. The node sends it to the upstream, which copies it into the
+// calls that it makes through the node beside it.
 const HeaderContext = "Marigoldrelay-Context"
 
 const purposeContext = "context"
 
-// Context is what the calls made on behalf of another call inherit from it.
+// Context is what nested calls inherit from the call that they are made for.
 type Context struct {
-	Call     string `json:"call"`
+	// Call is the id of the call that is the parent of the nested calls.
+	Call string `json:"call"`
+	// RootCall is the id of the outermost call.
 	RootCall string `json:"chain"`
-	// Deadline is in the clock of the VM, which the node and its upstream share.
+	// Deadline is a time on the clock of the VM, which the node and its upstream share.
 	Deadline  time.Time `json:"deadline"`
 	Depth     int       `json:"depth"`
 	Neighbour string    `json:"neighbour"`
 	Rank      string    `json:"rank"`
 }
 
-// Stamp writes the attempt's context into the headers of a request to the upstream.
+// Stamp writes the signed context of the attempt's call into the headers of a request to the upstream.
 func Stamp(key *signer.Signer, a *Attempt, req *fasthttp.Request, deadline time.Time) {
 	rootCall := a.RootCall
 	if rootCall == "" {
@@ -48,8 +50,8 @@
 	req.Header.Set(HeaderContext, text+"."+key.Hex(purposeContext, []byte(text)))
 }
 
-// OpenContext returns the context that a node has put into the request. It reports false for one
-// that is missing or not signed.
+// OpenContext returns the context in the request's headers. It reports false if the context is missing, has no valid
+// signature or can't be decoded.
 func OpenContext(key *signer.Signer, req *fasthttp.Request) (Context, bool) {
 	header := string(req.Header.Peek(HeaderContext))
 	text, signature, found := strings.Cut(header, ".")
