--- a/internal/router/bench_test.go
+++ b/internal/router/bench_test.go
@@ -11,7 +11,7 @@
 	"github.com/marigoldrelay/marigoldrelay/pkg/announcer"
 )
 
-func fill(count int) *Router {
+func newFilledRouter(count int) *Router {
 	r := New(timekeeper.System{}, rand.New(rand.NewPCG(1, 1)), Weighted{}, "r0", "dc0")
 	for i := range count {
 		r.Update(gossiper.Member{
@@ -22,13 +22,13 @@
 	return r
 }
 
-// BenchmarkTarget measures the memory of what the router knows of one member.
-func BenchmarkTarget(b *testing.B) {
+// BenchmarkTargetMemory measures the memory that the router uses for one member.
+func BenchmarkTargetMemory(b *testing.B) {
 	for range b.N {
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		r := fill(650)
+		r := newFilledRouter(650)
 		runtime.GC()
 		runtime.ReadMemStats(&after)
 		b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/650, "B/member")
@@ -36,9 +36,9 @@
 	}
 }
 
-// BenchmarkPick measures one choice among the members of one service.
+// BenchmarkPick measures one Pick among the members of one service.
 func BenchmarkPick(b *testing.B) {
-	r := fill(650)
+	r := newFilledRouter(650)
 	b.ReportAllocs()
 	for range b.N {
 		if _, ok := r.Pick(Need{Service: "s1"}, nil); !ok {
--- a/internal/router/cheapest.go
+++ b/internal/router/cheapest.go
@@ -5,55 +5,57 @@
 	"time"
 )
 
-// Costs of a target, as the time that an answer would have to come sooner to make up for them.
+// Costs of a target. A cost is the time by which the target's response would have to be faster to make up for it.
 const (
-	// distancePart is the cost of each step of distance as a part of the target latency: bytes that leave
-	// the data centre are only worth it where the answer would be late otherwise.
-	distancePart = 0.15
-	// defaultTarget stands in where the route sets no target latency.
-	defaultTarget = 400 * time.Millisecond
-	failureCost   = 600 * time.Millisecond
-	fullCost      = 150 * time.Millisecond
-	loadCost      = 40 * time.Millisecond
-	// reportTime is for how long a target's word on its load is used, ever less. In a large fleet an entry
-	// hears of most targets less than once a second.
-	reportTime      = 2 * time.Second
+	// distanceCostFactor is the cost of each step of distance, as a fraction of the target latency: traffic that
+	// leaves the data centre is only worth it if the response would be late otherwise.
+	distanceCostFactor = 0.15
+	// defaultTargetLatency is used if the route sets no target latency.
+	defaultTargetLatency = 400 * time.Millisecond
+	failureCost          = 600 * time.Millisecond
+	fullCost             = 150 * time.Millisecond
+	loadCost             = 40 * time.Millisecond
+	// reportLifetime is how long a target's load report is used, with linearly falling weight. In a large fleet an
+	// entry node gets reports of most targets less than once a second.
+	reportLifetime  = 2 * time.Second
 	relaxedSlowCost = 100 * time.Millisecond
 	slowCost        = 250 * time.Millisecond
-	// jitterCost spreads the calls over targets that are alike.
+	// jitterCost is the upper bound of a random cost that spreads calls over targets with equal costs.
 	jitterCost = 4 * time.Millisecond
 )
 
-// Cheapest picks the candidate at which an answer is expected soonest, with a price on the bytes that
-// leave the data centre. It answers upstreams that are slow for a part of a second at a time: their
-// nodes hand requests back, and the caller looks elsewhere for a while.
+// Cheapest picks the candidate with the lowest cost: the one from which a response is expected soonest, with a price
+// on traffic that leaves the data centre. It is made for upstreams that are slow for a fraction of a second at a time:
+// their nodes hand requests back, and callers use other nodes for a while.
 type Cheapest struct{}
 
 // Pick implements Policy.
 func (Cheapest) Pick(need Need, candidates []Candidate, random *rand.Rand) int {
-	best, least := 0, time.Duration(0)
+	best, lowest := 0, time.Duration(0)
 	for i := range candidates {
 		cost := candidates[i].cost(need) + time.Duration(random.Int64N(int64(jitterCost)))
-		if i == 0 || cost < least {
-			best, least = i, cost
+		if i == 0 || cost < lowest {
+			best, lowest = i, cost
 		}
 	}
 	return best
 }
 
-// IsGlobal reports that the policy weighs the distance itself.
-func (Cheapest) IsGlobal() bool {
+// WeighsDistance returns true: the policy gets candidates at all distances and weighs the distance itself.
+func (Cheapest) WeighsDistance() bool {
 	return true
 }
 
-// isPrompt reports whether the target is believed to have room and its usual speed.
-func (c *Candidate) isPrompt(need Need) bool {
+// isResponsive reports whether the target is believed to have free slots and its usual speed. If the need is relaxed,
+// the speed doesn't matter.
+func (c *Candidate) isResponsive(need Need) bool {
 	return c.load() < 1 && (need.Relaxed || !c.Slow)
 }
 
-// load is the part of the slots that are in use, as far as is known.
+// load returns the estimated fraction of the slots in use: the reported load, which fades with its age, or this node's
+// outstanding calls, whichever is higher.
 func (c *Candidate) load() float64 {
-	load := c.Reported * max(0, 1-c.ReportAge.Seconds()/reportTime.Seconds())
+	load := c.ReportedLoad * max(0, 1-c.ReportAge.Seconds()/reportLifetime.Seconds())
 	if c.Slots > 0 {
 		load = max(load, float64(c.Outstanding)/float64(c.Slots))
 	}
@@ -61,11 +63,11 @@
 }
 
 func (c *Candidate) cost(need Need) time.Duration {
-	target := need.TargetLatency
-	if target == 0 {
-		target = defaultTarget
+	targetLatency := need.TargetLatency
+	if targetLatency == 0 {
+		targetLatency = defaultTargetLatency
 	}
-	cost := time.Duration(float64(c.Distance) * distancePart * float64(target))
+	cost := time.Duration(float64(c.Distance) * distanceCostFactor * float64(targetLatency))
 	cost += time.Duration(c.FailureRate * float64(failureCost))
 	switch {
 	case c.Slow && need.Relaxed:
--- a/internal/router/policy.go
+++ b/internal/router/policy.go
@@ -5,37 +5,38 @@
 	"time"
 )
 
-// Candidate is one upstream that a request can go to, with what the caller knows of it.
+// Candidate is one upstream that a request can be sent to, with what this node knows of it.
 type Candidate struct {
-	// Distance is 0 in the own data centre, 1 in the own region and 2 elsewhere.
+	// Distance is 0 in this node's data centre, 1 in its region and 2 elsewhere.
 	Distance int
-	// FailureRate is the smoothed part of the calls that failed, from 0 to 1.
+	// FailureRate is the smoothed fraction of the calls that failed, from 0 to 1.
 	FailureRate float64
-	// Latency is the mean time of recent answers; zero where it is not known.
+	// Latency is the last reported mean service time; zero if it is not known.
 	Latency time.Duration
 	// Name is the member's name.
 	Name string
-	// Outstanding is the number of own calls that wait for the target's answer.
+	// Outstanding is the number of this node's calls that wait for the target's response.
 	Outstanding int
-	// Reported is the target's load as last reported: running and queued requests for each slot.
-	Reported float64
-	// ReportAge is how old that report is.
+	// ReportedLoad is the target's load as last reported: running and queued requests per slot.
+	ReportedLoad float64
+	// ReportAge is the age of that report, at most maxReportAge.
 	ReportAge time.Duration
-	// Slow is true where the target's upstream was said to be slow of late.
+	// Slow is true if the target's upstream was recently reported to be slow or a response of it was overdue.
 	Slow bool
-	// Slots is the number of requests that the target's upstream runs at once; zero where not known.
+	// Slots is the number of requests that the target's upstream runs at once; zero if it is not known.
 	Slots int
-	// Weight is from 0 to 1; a target that is slow or fails has a lower one.
+	// Weight is from 0 to 1 and lower for a target that is slow or fails.
 	Weight float64
 }
 
-// Policy picks one of several candidates.
+// Policy picks one of several candidates. A policy with a method WeighsDistance that returns true gets candidates at
+// all distances; the others get only the nearest.
 type Policy interface {
 	// Pick returns an index into candidates, which is not empty.
 	Pick(need Need, candidates []Candidate, random *rand.Rand) int
 }
 
-// Random picks any candidate.
+// Random picks a candidate at random, all with the same probability.
 type Random struct{}
 
 // Pick implements Policy.
@@ -54,7 +55,7 @@
 	return r.next % len(candidates)
 }
 
-// LeastOutstanding picks the candidate with the fewest own calls; ties are broken at random.
+// LeastOutstanding picks the candidate with the fewest outstanding calls of this node; ties are broken at random.
 type LeastOutstanding struct{}
 
 // Pick implements Policy.
@@ -74,32 +75,32 @@
 	return best
 }
 
-// TwoChoices picks the better of two random candidates by their reported load (Mitzenmacher, 2001).
+// TwoChoices picks the one of two random candidates with the lower reported load (Mitzenmacher, 2001).
 type TwoChoices struct{}
 
 // Pick implements Policy.
 func (TwoChoices) Pick(_ Need, candidates []Candidate, random *rand.Rand) int {
 	a := random.IntN(len(candidates))
 	b := random.IntN(len(candidates))
-	if candidates[b].Reported < candidates[a].Reported {
+	if candidates[b].ReportedLoad < candidates[a].ReportedLoad {
 		return b
 	}
 	return a
 }
 
-// Weighted picks a candidate with a probability in proportion to its weight.
+// Weighted picks a candidate with a probability proportional to its weight.
 type Weighted struct{}
 
 // Pick implements Policy.
 func (Weighted) Pick(_ Need, candidates []Candidate, random *rand.Rand) int {
-	sum := 0.0
+	totalWeight := 0.0
 	for _, c := range candidates {
-		sum += c.Weight
+		totalWeight += c.Weight
 	}
-	at := random.Float64() * sum
+	position := random.Float64() * totalWeight
 	for i, c := range candidates {
-		at -= c.Weight
-		if at < 0 {
+		position -= c.Weight
+		if position < 0 {
 			return i
 		}
 	}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -1,4 +1,5 @@
-// Package router picks the node that an attempt is sent to, from knowledge that is always stale.
+// Package router picks the node that an attempt is sent to. It decides on load reports and outcomes that are always
+// out of date.
 package router
 
 import (
@@ -15,35 +16,37 @@
 
 const (
 	failureSmoothing = 0.2
-	failuresToRest   = 3
-	maxRest          = 10 * time.Second
-	// maxReportAge stands for every longer time, and for a target that was never heard of.
+	// failuresToBackOff is the number of consecutive failures after which a target is avoided for a while.
+	failuresToBackOff = 3
+	maxBackoff        = 10 * time.Second
+	// maxReportAge replaces every longer age of a load report, and the age for a target without a report.
 	maxReportAge = time.Minute
-	minRest      = 500 * time.Millisecond
+	minBackoff   = 500 * time.Millisecond
 	minWeight    = 0.02
-	// slowTime is for how long a target's word that it is slow is believed.
-	slowTime = 400 * time.Millisecond
-	// suspectTime is for how long a target whose answer is overdue is passed over.
-	suspectTime = 400 * time.Millisecond
-	// speedPower makes a straggler's part smaller than its speed: the tail is what it takes longest.
-	speedPower = 3
+	// slowReportLifetime is how long a target counts as slow after it has reported that it is.
+	slowReportLifetime = 400 * time.Millisecond
+	// overdueSlowTime is how long a target counts as slow after one of its responses is overdue.
+	overdueSlowTime = 400 * time.Millisecond
+	// speedExponent makes the weight of a slow target lower than in proportion to its speed, because its calls make
+	// up the latency tail.
+	speedExponent = 3
 )
 
 // target is what the router knows of one member's upstream.
 type target struct {
 	gossiper.Member
-	failureRate float64
-	failures    int
-	latency     time.Duration
-	outstanding int
-	reported    float64
-	reportedAt  time.Time
-	rest        time.Duration
-	restUntil   time.Time
-	slowUntil   time.Time
+	failureRate  float64
+	failures     int
+	latency      time.Duration
+	outstanding  int
+	reportedLoad float64
+	reportedAt   time.Time
+	backoff      time.Duration
+	backoffUntil time.Time
+	slowUntil    time.Time
 }
 
-// Router holds the targets of each service. It is safe for concurrent use.
+// Router holds the targets of each service and picks among them. It is safe for concurrent use.
 type Router struct {
 	clock      timekeeper.Clock
 	dataCentre string
@@ -56,7 +59,7 @@
 	targets  map[string]*target
 }
 
-// New returns a router for a node in the given place.
+// New returns a router without targets, for a node in the given region and data centre.
 func New(clock timekeeper.Clock, random *rand.Rand, policy Policy, region, dataCentre string) *Router {
 	return &Router{
 		clock:      clock,
@@ -69,7 +72,8 @@
 	}
 }
 
-// Update takes a member's newest record.
+// Update records a member's newest membership record. Members that are not serving can't be picked, and a member with
+// a new incarnation starts without history.
 func (r *Router) Update(m gossiper.Member) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -81,7 +85,7 @@
 	if t.Incarnation != m.Incarnation {
 		*t = target{outstanding: t.outstanding}
 	}
-	r.unlist(t)
+	r.removeFromService(t)
 	t.Member = m
 	if m.IsServing() {
 		r.services[m.Service] = append(r.services[m.Service], t)
@@ -91,15 +95,15 @@
 	}
 }
 
-func (r *Router) unlist(t *target) {
+func (r *Router) removeFromService(t *target) {
 	listed := r.services[t.Service]
 	if i := slices.Index(listed, t); i >= 0 {
 		r.services[t.Service] = slices.Delete(listed, i, i+1)
 	}
 }
 
-// Pick chooses a target for a first or further try. Members in exclude are not chosen. It reports
-// false when there is none.
+// Pick chooses a target for an attempt. Members in exclude are not chosen, and members that back off after failures
+// only if there is no other. It reports false if there is no target.
 func (r *Router) Pick(need Need, exclude []string) (Choice, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -112,26 +116,27 @@
 		return Choice{}, false
 	}
 	others := len(usable) - 1
-	if global, ok := r.policy.(interface{ IsGlobal() bool }); !ok || !global.IsGlobal() {
+	if weigher, ok := r.policy.(interface{ WeighsDistance() bool }); !ok || !weigher.WeighsDistance() {
 		usable = r.nearest(usable)
 	}
 	candidates := r.candidates(usable, now)
 	index := r.policy.Pick(need, candidates, r.random)
 	picked := usable[index]
-	if picked.failures >= failuresToRest {
-		// One call probes a target that has rested; the others wait for its outcome.
-		picked.restUntil = now.Add(picked.rest)
+	if picked.failures >= failuresToBackOff {
+		// One call probes a target whose backoff has ended. The backoff is extended, so that other calls avoid the
+		// target until the outcome is known.
+		picked.backoffUntil = now.Add(picked.backoff)
 	}
-	believed := &candidates[index]
+	candidate := &candidates[index]
 	return Choice{
-		Load: believed.load(), LoadAge: believed.ReportAge, Member: picked.Member, Alternatives: others,
-		Responsive: believed.isPrompt(need), Slow: believed.Slow,
+		Load: candidate.load(), LoadAge: candidate.ReportAge, Member: picked.Member, Alternatives: others,
+		Responsive: candidate.isResponsive(need), Slow: candidate.Slow,
 	}, true
 }
 
-// Need is what a call asks of its target.
+// Need is what a call requires of its target.
 type Need struct {
-	// Relaxed is true where the answer comes in time even if the upstream is slow for a moment.
+	// Relaxed is true if the response will be in time even if the upstream is slow for a short period.
 	Relaxed bool
 	Service string
 	// TargetLatency is the time within which the response is fully useful; zero if none is set.
@@ -141,8 +146,8 @@
 // Choice is a picked target.
 type Choice struct {
 	gossiper.Member
-	// Load is the part of the slots that was in use when LoadAge ago the target was heard of; Slow is
-	// whether its upstream was slow.
+	// Load is the estimated fraction of the target's slots in use, above 1 with a queue. LoadAge is the age of the
+	// target's last load report. Slow is true if the target's upstream counts as slow.
 	Load    float64
 	LoadAge time.Duration
 	Slow    bool
@@ -152,12 +157,12 @@
 	Alternatives int
 }
 
-// usable returns the service's targets that are not excluded and, unless resting is true, not
-// resting after failures.
-func (r *Router) usable(service string, exclude []string, now time.Time, resting bool) []*target {
+// usable returns the service's targets that are not in exclude and, unless includeBackedOff is true, not backing off
+// after failures.
+func (r *Router) usable(service string, exclude []string, now time.Time, includeBackedOff bool) []*target {
 	var usable []*target
 	for _, t := range r.services[service] {
-		if slices.Contains(exclude, t.Name) || (!resting && now.Before(t.restUntil)) {
+		if slices.Contains(exclude, t.Name) || (!includeBackedOff && now.Before(t.backoffUntil)) {
 			continue
 		}
 		usable = append(usable, t)
@@ -165,7 +170,7 @@
 	return usable
 }
 
-// nearest keeps the targets in the own data centre, or else in the own region, or else all.
+// nearest returns the targets in this node's data centre, or if there are none, in its region, or else all.
 func (r *Router) nearest(targets []*target) []*target {
 	if near := filter(targets, func(t *target) bool { return t.DataCentre == r.dataCentre }); len(near) > 0 {
 		return near
@@ -177,30 +182,30 @@
 }
 
 func filter(targets []*target, keep func(*target) bool) []*target {
-	var kept []*target
+	var matching []*target
 	for _, t := range targets {
 		if keep(t) {
-			kept = append(kept, t)
+			matching = append(matching, t)
 		}
 	}
-	return kept
+	return matching
 }
 
 func (r *Router) candidates(targets []*target, now time.Time) []Candidate {
-	typical := medianLatency(targets)
+	median := medianLatency(targets)
 	candidates := make([]Candidate, len(targets))
 	for i, t := range targets {
 		candidates[i] = Candidate{
-			Distance:    r.distance(t),
-			FailureRate: t.failureRate,
-			Latency:     t.latency,
-			Name:        t.Name,
-			Outstanding: t.outstanding,
-			Reported:    t.reported,
-			ReportAge:   min(maxReportAge, now.Sub(t.reportedAt)),
-			Slots:       t.Slots,
-			Slow:        now.Before(t.slowUntil),
-			Weight:      t.weight(typical),
+			Distance:     r.distance(t),
+			FailureRate:  t.failureRate,
+			Latency:      t.latency,
+			Name:         t.Name,
+			Outstanding:  t.outstanding,
+			ReportedLoad: t.reportedLoad,
+			ReportAge:    min(maxReportAge, now.Sub(t.reportedAt)),
+			Slots:        t.Slots,
+			Slow:         now.Before(t.slowUntil),
+			Weight:       t.weight(median),
 		}
 	}
 	return candidates
@@ -217,7 +222,7 @@
 	}
 }
 
-// medianLatency returns the lower median of the known latencies.
+// medianLatency returns the lower median of the known latencies, or zero if none is known.
 func medianLatency(targets []*target) time.Duration {
 	var known []time.Duration
 	for _, t := range targets {
@@ -232,19 +237,19 @@
 	return known[(len(known)-1)/2]
 }
 
-// weight lowers the part of a target that is slower than its siblings or fails. A target that is
-// faster gets no more than its part, so that a quick failure attracts nothing.
-func (t *target) weight(typical time.Duration) float64 {
+// weight returns the target's weight, from minWeight to 1. It is lower if the target is slower than the median of its
+// siblings or fails. A faster target gets no more than weight 1, so that quick failures attract no calls.
+func (t *target) weight(median time.Duration) float64 {
 	speed := 1.0
-	if t.latency > typical && typical > 0 {
-		speed = float64(typical) / float64(t.latency)
+	if t.latency > median && median > 0 {
+		speed = float64(median) / float64(t.latency)
 	}
 	success := 1 - t.failureRate
-	return max(minWeight, math.Pow(speed, speedPower)*success*success)
+	return max(minWeight, math.Pow(speed, speedExponent)*success*success)
 }
 
-// HandOn chooses another node of the service for a request that found no free slot: a near one, and
-// a straggler seldom.
+// HandOn chooses another node of the service for a request that found no free slot. It picks one of the nearest
+// nodes, and a slow or failing one seldom. It reports false if there is none.
 func (r *Router) HandOn(service string, exclude []string) (gossiper.Member, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -256,8 +261,8 @@
 	return usable[Weighted{}.Pick(Need{}, r.candidates(usable, now), r.random)].Member, true
 }
 
-// Reservation chooses another node of the service for a reservation. All are as likely, because a
-// node pulls only when it has a free slot.
+// Reservation chooses another node of the service for a reservation. All nodes are equally likely, because a node pulls
+// a reserved request only when it has a free slot. It reports false if there is none.
 func (r *Router) Reservation(service string, exclude []string) (gossiper.Member, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -286,7 +291,7 @@
 	return len(r.services[service])
 }
 
-// Sent books a call that was sent to the target.
+// Sent records that a call is sent to the target. The caller must call Learn when the call has ended.
 func (r *Router) Sent(name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -295,8 +300,8 @@
 	}
 }
 
-// Learn books the outcome of a call to the target. failed is true when the target or its upstream
-// failed; a refusal for want of room is no failure.
+// Learn records the outcome of a call to the target. failed is true if the target or its upstream failed; a refusal
+// for lack of capacity is not a failure.
 func (r *Router) Learn(name string, load carrier.Load, failed bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -309,21 +314,21 @@
 	if load.Slots > 0 {
 		t.latency = load.Latency
 	}
-	t.take(now, load)
-	t.learn(now, failed)
+	t.recordLoad(now, load)
+	t.recordResult(now, failed)
 }
 
-// take books a target's word on its load.
-func (t *target) take(now time.Time, load carrier.Load) {
+// recordLoad records a load report of the target. Zero values of Slots or Slowdown mean that they are not known.
+func (t *target) recordLoad(now time.Time, load carrier.Load) {
 	if load.Slots > 0 {
-		t.reported = float64(load.Running+load.Queued) / float64(load.Slots)
+		t.reportedLoad = float64(load.Running+load.Queued) / float64(load.Slots)
 		t.reportedAt = now
 	}
 	if load.Slowdown > 0 {
 		t.slowUntil = time.Time{}
 	}
 	if load.IsSlow() {
-		t.slowUntil = now.Add(slowTime)
+		t.slowUntil = now.Add(slowReportLifetime)
 	}
 }
 
@@ -337,31 +342,31 @@
 	}
 	now := r.clock.Now()
 	wasSlow := now.Before(t.slowUntil)
-	t.take(now, load)
+	t.recordLoad(now, load)
 	return !wasSlow && now.Before(t.slowUntil)
 }
 
-// MarkOverdue records that a response of the target is overdue.
+// MarkOverdue records that a response of the target is overdue. The target then counts as slow for overdueSlowTime.
 func (r *Router) MarkOverdue(name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if t, ok := r.targets[name]; ok {
-		t.slowUntil = r.clock.Now().Add(suspectTime)
+		t.slowUntil = r.clock.Now().Add(overdueSlowTime)
 	}
 }
 
-func (t *target) learn(now time.Time, failed bool) {
+func (t *target) recordResult(now time.Time, failed bool) {
 	if !failed {
 		t.failureRate -= failureSmoothing * t.failureRate
 		t.failures = 0
-		t.rest = 0
-		t.restUntil = time.Time{}
+		t.backoff = 0
+		t.backoffUntil = time.Time{}
 		return
 	}
 	t.failureRate += failureSmoothing * (1 - t.failureRate)
 	t.failures++
-	if t.failures >= failuresToRest {
-		t.rest = min(max(minRest, 2*t.rest), maxRest)
-		t.restUntil = now.Add(t.rest)
+	if t.failures >= failuresToBackOff {
+		t.backoff = min(max(minBackoff, 2*t.backoff), maxBackoff)
+		t.backoffUntil = now.Add(t.backoff)
 	}
 }
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -12,7 +12,7 @@
 	"github.com/marigoldrelay/marigoldrelay/pkg/announcer"
 )
 
-func place(name, region, dataCentre string) gossiper.Member {
+func newMember(name, region, dataCentre string) gossiper.Member {
 	return gossiper.Member{
 		Name: name, DataCentre: dataCentre, Region: region, Service: "s", Slots: 12, Upstream: announcer.StateReady,
 	}
@@ -22,7 +22,7 @@
 	return New(timekeeper.System{}, rand.New(rand.NewPCG(1, 1)), Weighted{}, "r1", "dc1")
 }
 
-func count(r *Router, picks int) map[string]int {
+func countPicks(r *Router, picks int) map[string]int {
 	counts := make(map[string]int)
 	for range picks {
 		if m, ok := r.Pick(Need{Service: "s"}, nil); ok {
@@ -32,14 +32,14 @@
 	return counts
 }
 
-func TestNearestFirst(t *testing.T) {
+func TestNearestTargetIsPicked(t *testing.T) {
 	r := newRouter()
-	near, region, far := place("near", "r1", "dc1"), place("region", "r1", "dc2"), place("far", "r2", "dc3")
+	near, region, far := newMember("near", "r1", "dc1"), newMember("region", "r1", "dc2"), newMember("far", "r2", "dc3")
 	for _, m := range []gossiper.Member{near, region, far} {
 		r.Update(m)
 	}
 	for _, want := range []*gossiper.Member{&near, &region, &far} {
-		if got := count(r, 20)[want.Name]; got != 20 {
+		if got := countPicks(r, 20)[want.Name]; got != 20 {
 			t.Errorf("%s got %d of 20 calls", want.Name, got)
 		}
 		want.Upstream = announcer.StateDraining
@@ -50,34 +50,34 @@
 	}
 }
 
-func TestFailingTargetRestsAndIsProbed(t *testing.T) {
+func TestFailingTargetBacksOffAndIsProbed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRouter()
-		r.Update(place("bad", "r1", "dc1"))
-		r.Update(place("good", "r1", "dc1"))
-		for range failuresToRest {
+		r.Update(newMember("bad", "r1", "dc1"))
+		r.Update(newMember("good", "r1", "dc1"))
+		for range failuresToBackOff {
 			r.Sent("bad")
 			r.Learn("bad", carrier.Load{}, true)
 		}
-		if got := count(r, 200)["bad"]; got > 0 {
-			t.Errorf("a resting target got %d calls", got)
+		if got := countPicks(r, 200)["bad"]; got > 0 {
+			t.Errorf("a target that backs off got %d calls", got)
 		}
-		time.Sleep(minRest + time.Millisecond)
-		if got := count(r, 2000)["bad"]; got != 1 {
-			t.Errorf("a target that has rested got %d calls at once, want 1 probe", got)
+		time.Sleep(minBackoff + time.Millisecond)
+		if got := countPicks(r, 2000)["bad"]; got != 1 {
+			t.Errorf("a target whose backoff has ended got %d calls at once, want 1 probe", got)
 		}
 		r.Sent("bad")
 		r.Learn("bad", carrier.Load{}, false)
-		if got := count(r, 2000)["bad"]; got == 0 {
-			t.Error("a target that is well again gets no calls")
+		if got := countPicks(r, 2000)["bad"]; got == 0 {
+			t.Error("a target that has recovered gets no calls")
 		}
 	})
 }
 
-func TestStragglerGetsLittle(t *testing.T) {
+func TestSlowTargetGetsFewCalls(t *testing.T) {
 	r := newRouter()
 	for _, name := range []string{"a", "b", "slow"} {
-		r.Update(place(name, "r1", "dc1"))
+		r.Update(newMember(name, "r1", "dc1"))
 		latency := 10 * time.Millisecond
 		if name == "slow" {
 			latency = 30 * time.Millisecond
@@ -85,25 +85,25 @@
 		r.Sent(name)
 		r.Learn(name, carrier.Load{Latency: latency, Slots: 12}, false)
 	}
-	counts := count(r, 3000)
+	counts := countPicks(r, 3000)
 	t.Logf("%v", counts)
 	if counts["slow"] > 150 || counts["slow"] == 0 {
-		t.Errorf("the straggler got %d of 3000 calls", counts["slow"])
+		t.Errorf("the slow target got %d of 3000 calls", counts["slow"])
 	}
 }
 
-func TestRestartedMemberStartsAnew(t *testing.T) {
+func TestRestartResetsTarget(t *testing.T) {
 	r := newRouter()
-	m := place("a", "r1", "dc1")
+	m := newMember("a", "r1", "dc1")
 	r.Update(m)
-	for range failuresToRest {
+	for range failuresToBackOff {
 		r.Sent("a")
 		r.Learn("a", carrier.Load{}, true)
 	}
 	m.Incarnation = 2
 	r.Update(m)
-	r.Update(place("b", "r1", "dc1"))
-	if got := count(r, 100)["a"]; got < 20 {
+	r.Update(newMember("b", "r1", "dc1"))
+	if got := countPicks(r, 100)["a"]; got < 20 {
 		t.Errorf("a restarted member got %d of 100 calls", got)
 	}
 }
