--- a/internal/budgeter/repeats_test.go
+++ b/internal/budgeter/repeats_test.go
@@ -10,14 +10,14 @@
 	"github.com/marigoldrelay/marigoldrelay/internal/timekeeper"
 )
 
-// handClock is a clock that a test sets.
-type handClock struct {
+// manualClock is a clock whose time is set by the test.
+type manualClock struct {
 	timekeeper.System
 	now time.Time
 }
 
 // Now implements timekeeper.Clock.
-func (c *handClock) Now() time.Time { return c.now }
+func (c *manualClock) Now() time.Time { return c.now }
 
 const (
 	testRatio  = 0.2
@@ -31,19 +31,19 @@
 	})
 }
 
-// count returns how many times lie in the window that begins at from.
-func count(times []time.Time, from time.Time) int {
+// countInWindow returns the number of times that are in the window starting at from.
+func countInWindow(times []time.Time, from time.Time) int {
 	first, _ := slices.BinarySearchFunc(times, from, time.Time.Compare)
 	last, _ := slices.BinarySearchFunc(times, from.Add(testWindow), time.Time.Compare)
 	return last - first
 }
 
-// TestRepeatsOfAllUpstreamsTogether guards against inc1: upstreams that keep bounds of their own, and together
-// get more repeats in some window than the service may. Load moves between upstreams, comes in bursts after
-// quiet times and arrives late, and nodes are started again.
-func TestRepeatsOfAllUpstreamsTogether(t *testing.T) {
+// TestRepeatLimitHoldsAcrossUpstreams guards against inc1, in which upstreams kept their own limits but together
+// received more repeats in some window than the service allows. Load moves between upstreams, comes in bursts after
+// quiet periods and arrives late, and nodes are restarted.
+func TestRepeatLimitHoldsAcrossUpstreams(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		clock := &handClock{now: time.Unix(1000, 0)}
+		clock := &manualClock{now: time.Unix(1000, 0)}
 		upstreams := rapid.IntRange(1, 6).Draw(t, "upstreams")
 		var all []*Repeats
 		for range upstreams {
@@ -75,41 +75,42 @@
 		}
 		slices.SortFunc(firsts, time.Time.Compare)
 		for _, from := range repeats {
-			requests := max(count(firsts, from), count(firsts, from.Add(-testWindow/2)), count(firsts, from.Add(-testWindow)))
+			requests := max(countInWindow(firsts, from), countInWindow(firsts, from.Add(-testWindow/2)),
+				countInWindow(firsts, from.Add(-testWindow)))
 			allowed := testRatio*float64(requests) + testSlack
-			if got := count(repeats, from); float64(got) > allowed {
+			if got := countInWindow(repeats, from); float64(got) > allowed {
 				t.Fatalf("%d repeats in the window from %v on, for %d requests; allowed %.0f", got, from, requests, allowed)
 			}
 		}
 	})
 }
 
-// TestRepeatsAtASteadyRate checks that the ratio is open while requests come evenly, but for a span of each half
-// window.
-func TestRepeatsAtASteadyRate(t *testing.T) {
-	clock := &handClock{now: time.Unix(1000, 0)}
+// TestRepeatLimitAtSteadyRate checks that at a steady rate of requests the full ratio of repeats is allowed, except for
+// one span of each half window.
+func TestRepeatLimitAtSteadyRate(t *testing.T) {
+	clock := &manualClock{now: time.Unix(1000, 0)}
 	repeats := NewRepeats(clock, func() RepeatLimits { return RepeatLimits{Ratio: testRatio, Window: testWindow} })
 	const (
-		rate    = 100
-		seconds = 60
-		warm    = 10
+		rate          = 100
+		seconds       = 60
+		warmUpSeconds = 10
 	)
 	taken := 0
 	for i := range rate * seconds {
 		clock.now = clock.now.Add(time.Second / rate)
 		repeats.First(clock.now)
-		if repeats.Take(1) && i >= rate*warm {
+		if repeats.Take(1) && i >= rate*warmUpSeconds {
 			taken++
 		}
 	}
-	if least := (1 - 1.0/halfSpans) * testRatio * rate * (seconds - warm); float64(taken) < least {
-		t.Errorf("%d repeats for %d requests, want at least %.0f", taken, rate*(seconds-warm), least)
+	if minTaken := (1 - 1.0/halfWindowSpans) * testRatio * rate * (seconds - warmUpSeconds); float64(taken) < minTaken {
+		t.Errorf("%d repeats for %d requests, want at least %.0f", taken, rate*(seconds-warmUpSeconds), minTaken)
 	}
 }
 
-// TestRepeatThatDidNotArrive checks that what is taken back is open again.
-func TestRepeatThatDidNotArrive(t *testing.T) {
-	clock := &handClock{now: time.Unix(1000, 0)}
+// TestUndoTake checks that an undone repeat no longer counts against the limit.
+func TestUndoTake(t *testing.T) {
+	clock := &manualClock{now: time.Unix(1000, 0)}
 	repeats := newTestRepeats(clock, int(testSlack))
 	repeats.Allows(1)
 	clock.now = clock.now.Add(testWindow)
@@ -118,11 +119,11 @@
 	}
 	repeats.UndoTake(clock.now)
 	if !repeats.Take(1) {
-		t.Error("a repeat that did not arrive still counts")
+		t.Error("an undone repeat still counts")
 	}
 }
 
-// BenchmarkRepeats books first arrivals and repeats in a full window.
+// BenchmarkRepeats counts first arrivals and repeats in a full window.
 func BenchmarkRepeats(b *testing.B) {
 	repeats := newTestRepeats(timekeeper.System{}, 4)
 	for b.Loop() {
