--- a/internal/budgeter/repeats.go
+++ b/internal/budgeter/repeats.go
@@ -96,17 +96,17 @@
 	if now.Sub(r.startedAt) < limits.Window {
 		limits.Share = 0
 	}
-	if !r.hasRoom(limits, fraction) {
+	if !r.isWithinLimits(limits, fraction) {
 		return false
 	}
 	r.spans[r.newest%ringSpans].repeats += count
 	return true
 }
 
-// hasRoom reports whether one more repeat is within the fraction of the limit in each window that contains the present.
-// For a window that begins within a span, all of that span's repeats count, but only those first arrivals that are in
-// the window wherever in the span it begins. It is called with mu held.
-func (r *Repeats) hasRoom(limits RepeatLimits, fraction float64) bool {
+// isWithinLimits reports whether one more repeat is within the fraction of the limit in each window that contains the
+// present. For a window that begins within a span, all of that span's repeats count, but only those first arrivals that
+// are in the window wherever in the span it begins. It is called with mu held.
+func (r *Repeats) isWithinLimits(limits RepeatLimits, fraction float64) bool {
 	// firstsBefore[i] is the number of first arrivals in the i oldest spans.
 	var firstsBefore [ringSpans + 1]int
 	for i := range ringSpans {
--- a/internal/carrier/carrier.go
+++ b/internal/carrier/carrier.go
@@ -25,7 +25,7 @@
 
 const (
 	// responseGrace is how much longer than the receiver the sender waits, so that it gets the receiver's refusal.
-	// A response whose attempt is done has the same time to arrive.
+	// The response of an attempt that is already done gets the same time to arrive.
 	responseGrace = 100 * time.Millisecond
 	// maxPeerIdleTime is how long an idle connection to a peer can be reused. It is half of the time for which a
 	// node keeps idle connections from its peers open. It is this long because in a large fleet a node sends to the
--- a/internal/dispatcher/attempts.go
+++ b/internal/dispatcher/attempts.go
@@ -112,7 +112,7 @@
 const (
 	// minRetryAfter gives a full upstream time to work off its queue.
 	minRetryAfter = 300 * time.Millisecond
-	// retryAfterDivisor limits the wait before the caller's retry to this fraction (1/3) of its remaining time.
+	// retryAfterDivisor limits the time after which a caller is told to retry, to 1/3 of its remaining time.
 	retryAfterDivisor = 3
 )
 
@@ -157,7 +157,8 @@
 // response would also make the calling upstream late for its own callers and keep one of its slots in use.
 const lateWaitFactor = 1.5
 
-// minUsefulWait tells a node that the response will be late in any case.
+// minUsefulWait is the useful wait of an attempt whose response will be late in any case. Zero would mean that there is
+// no target latency.
 const minUsefulWait = time.Millisecond
 
 // callerCanRetry reports whether the caller of a refused call has time left to retry and be served. An upstream
--- a/internal/dispatcher/attempts_test.go
+++ b/internal/dispatcher/attempts_test.go
@@ -43,9 +43,9 @@
 	}
 }
 
-// TestNestedCallRetriesFullQueues has two nodes refuse a call because their queues are full. A call with too little
-// time to come back later, as upstreams make, is sent to the next node, since its parent call is already running. A
-// caller with time left is refused and told to retry.
+// TestNestedCallRetriesFullQueues has two nodes refuse a call because their queues are full. A nested call, whose
+// caller has no time to retry, is sent to the next node, because its parent call is already running. A caller that has
+// the time to retry gets the refusal.
 func TestNestedCallRetriesFullQueues(t *testing.T) {
 	tests := []struct {
 		name     string
--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -31,8 +31,8 @@
 	// maxOverBudget is how often a call is retried after a node refuses a retry because of its upstream's
 	// limit on repeats.
 	maxOverBudget = 1
-	// maxQueueFullRefusals is how often a call is retried after a full queue if its caller has no time to
-	// come back later.
+	// maxQueueFullRefusals is how often a call is retried after a full queue if its caller has no time to retry
+	// itself.
 	maxQueueFullRefusals = 3
 	// maxTries limits the attempts of a call, including those that reach no upstream but not hedges.
 	maxTries = 10
