--- a/internal/relayer/inforce_test.go
+++ b/internal/relayer/activation_test.go
@@ -16,10 +16,11 @@
 	"github.com/marigoldrelay/marigoldrelay/internal/validator"
 )
 
-// inForceBound is the users' bound on the time until a change is in force at every node.
-const inForceBound = 17 * time.Second
+// activationBound is the users' limit on the time until a change is in force at every node.
+const activationBound = 17 * time.Second
 
-// putDocument makes a version through a node's administration API; base 0 makes the first.
+// putDocument makes a version of the document through a node's administration API. A base of 0 makes the first
+// version.
 func putDocument(tb testing.TB, d *demonstrator.Deployment, station *demonstrator.Station, base uint64, id string) {
 	tb.Helper()
 	document, err := demonstrator.Document()
@@ -55,14 +56,14 @@
 	}
 }
 
-// awaitVersion waits until every node has the version in force and returns how long that took.
+// awaitVersion waits until the version is in force at every node and returns how long that took.
 func awaitVersion(tb testing.TB, d *demonstrator.Deployment, version uint64) time.Duration {
 	tb.Helper()
 	started := time.Now()
 	for _, station := range d.Stations() {
 		for station.Node.Status().Version < version {
-			if time.Since(started) > inForceBound {
-				tb.Fatalf("%s has version %d after %s", station.Place.Name, station.Node.Status().Version, inForceBound)
+			if time.Since(started) > activationBound {
+				tb.Fatalf("%s has version %d after %s", station.Place.Name, station.Node.Status().Version, activationBound)
 			}
 			time.Sleep(time.Millisecond)
 		}
@@ -70,9 +71,9 @@
 	return time.Since(started)
 }
 
-// BenchmarkInForce measures the time from a change's acceptance until it is in force at 40 nodes,
-// of which 5 have disks.
-func BenchmarkInForce(b *testing.B) {
+// BenchmarkActivation measures the time from a change's acceptance until it is in force at 40 nodes, 5 of which have
+// disks.
+func BenchmarkActivation(b *testing.B) {
 	const count, replicas = 40, 5
 	d, err := demonstrator.NewDeployment(nil)
 	if err != nil {
--- a/internal/relayer/admin.go
+++ b/internal/relayer/admin.go
@@ -9,10 +9,10 @@
 	"github.com/marigoldrelay/marigoldrelay/internal/logger"
 )
 
-// Status is what a node tells of itself and of the members.
+// Status is a node's report on itself and on the members that it knows.
 type Status struct {
 	Accounts []executor.AccountStatus `json:"accounts"`
-	// DiskID is set on a control replica.
+	// DiskID is set only on a control replica.
 	DiskID      string            `json:"disk-id,omitempty"`
 	Executor    executor.Status   `json:"executor"`
 	Hints       hintreader.Hints  `json:"hints"`
@@ -39,34 +39,34 @@
 	return status
 }
 
-// reporter implements administrator.Reporter.
-type reporter struct {
+// statusReporter implements administrator.Reporter.
+type statusReporter struct {
 	node *Node
 }
 
-// Accounts returns the slot-time taken by rank and neighbour.
-func (r reporter) Accounts() any {
+// Accounts returns the slot time that was used, by rank and neighbour.
+func (r statusReporter) Accounts() any {
 	return r.node.executor.Accounts()
 }
 
-// Members returns the members.
-func (r reporter) Members() any {
+// Members returns the members that the node knows.
+func (r statusReporter) Members() any {
 	return r.node.gossiper.Members()
 }
 
 // Status returns a snapshot of the node.
-func (r reporter) Status() any {
+func (r statusReporter) Status() any {
 	return r.node.Status()
 }
 
-// WriteMetrics writes the node's metrics.
-func (r reporter) WriteMetrics(w io.Writer) {
+// WriteMetrics writes the node's metrics to w.
+func (r statusReporter) WriteMetrics(w io.Writer) {
 	r.node.meter.Write(w)
 }
 
 func (n *Node) registerGauges() {
 	n.meter.Gauge("document_version", func() float64 { return float64(n.documentVersion()) })
 	n.meter.Gauge("register_revision", func() float64 { return float64(n.revision()) })
-	n.meter.Gauge("live_members", func() float64 { return float64(len(n.liveMembers()) + 1) })
+	n.meter.Gauge("live_members", func() float64 { return float64(len(n.livePeers()) + 1) })
 	n.meter.Gauge("log_lines_lost", func() float64 { return float64(logger.LostLines()) })
 }
--- a/internal/relayer/sender.go
+++ b/internal/relayer/attemptsender.go
@@ -11,15 +11,15 @@
 	"github.com/marigoldrelay/marigoldrelay/internal/gossiper"
 )
 
-// nearSender takes attempts for the own node straight to its executor, and the others to peers.
-type nearSender struct {
+// attemptSender passes attempts for the node itself directly to its executor and sends all others to their nodes.
+type attemptSender struct {
 	carrier  *carrier.Carrier
 	executor *executor.Executor
 	self     string
 }
 
 // Send implements dispatcher.Sender.
-func (s *nearSender) Send(ctx context.Context, to gossiper.Member, a carrier.Attempt, req *fasthttp.Request, resp *fasthttp.Response, deadline time.Time) carrier.Outcome {
+func (s *attemptSender) Send(ctx context.Context, to gossiper.Member, a carrier.Attempt, req *fasthttp.Request, resp *fasthttp.Response, deadline time.Time) carrier.Outcome {
 	if to.Name != s.self {
 		return s.carrier.Send(ctx, to, a, req, resp, deadline)
 	}
--- a/internal/relayer/bench_test.go
+++ b/internal/relayer/bench_test.go
@@ -17,9 +17,9 @@
 	"github.com/marigoldrelay/marigoldrelay/internal/timekeeper"
 )
 
-// BenchmarkAdded measures calls over two nodes against calls straight to the same upstream, which
-// answers at once. The difference is the time that the nodes add.
-func BenchmarkAdded(b *testing.B) {
+// BenchmarkAddedLatency compares calls through two nodes with direct calls to the same upstream, which answers at
+// once. The difference is the latency that the nodes add.
+func BenchmarkAddedLatency(b *testing.B) {
 	document, err := demonstrator.Document()
 	if err != nil {
 		b.Fatal(err)
@@ -35,8 +35,8 @@
 	awaitServing(b, d, 1)
 	upstream := d.Station(1).Node.Status().Executor.Announcement.Address
 	for _, callers := range []int{1, 16, 128} {
-		b.Run(fmt.Sprintf("direct/%d", callers), func(b *testing.B) { call(b, netip.MustParseAddrPort(upstream), callers) })
-		b.Run(fmt.Sprintf("relayed/%d", callers), func(b *testing.B) { call(b, entry.Settings.CallerAddress, callers) })
+		b.Run(fmt.Sprintf("direct/%d", callers), func(b *testing.B) { benchmarkCalls(b, netip.MustParseAddrPort(upstream), callers) })
+		b.Run(fmt.Sprintf("relayed/%d", callers), func(b *testing.B) { benchmarkCalls(b, entry.Settings.CallerAddress, callers) })
 	}
 }
 
@@ -58,8 +58,9 @@
 	}
 }
 
-// call sends b.N requests from the given number of concurrent callers and reports quantiles.
-func call(b *testing.B, to netip.AddrPort, callers int) {
+// benchmarkCalls sends b.N requests from the given number of concurrent callers and reports latency percentiles and
+// calls per second.
+func benchmarkCalls(b *testing.B, to netip.AddrPort, callers int) {
 	pool := forwarder.New(to, timekeeper.System{})
 	defer pool.Close()
 	histograms := make([]*hdrhistogram.Histogram, callers)
@@ -70,7 +71,7 @@
 		histograms[i] = hdrhistogram.New(1, time.Minute.Nanoseconds(), 3)
 		work.Go(func() {
 			for n := i; n < b.N; n += callers {
-				one(b, pool, histograms[i])
+				timeCall(b, pool, histograms[i])
 			}
 		})
 	}
@@ -84,7 +85,7 @@
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "calls/s")
 }
 
-func one(b *testing.B, pool *forwarder.Pool, h *hdrhistogram.Histogram) {
+func timeCall(b *testing.B, pool *forwarder.Pool, h *hdrhistogram.Histogram) {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
 	resp := fasthttp.AcquireResponse()
--- a/internal/relayer/budget_test.go
+++ b/internal/relayer/budget_test.go
@@ -14,11 +14,11 @@
 	"github.com/marigoldrelay/marigoldrelay/internal/timekeeper"
 )
 
-// controlBudget is what a node may send for control in bytes a second.
+// controlBudget is the limit on a node's control traffic in bytes per second.
 const controlBudget = 7000
 
-// TestControlBudget crashes and restarts upstreams, two a second, during a flood of 3 times the capacity, and
-// compares the control bytes with the budget.
+// TestControlBudget crashes and restarts upstreams, two per second, under a load of 3 times the capacity, and
+// compares the control traffic with the budget.
 func TestControlBudget(t *testing.T) {
 	const (
 		count    = 8
@@ -71,10 +71,10 @@
 		t.Logf("%s: %.0f bytes a second a node", purpose, perNode)
 	}
 	for _, r := range g.Results() {
-		// On a machine that can't carry the flood, calls are lost to their own time limit.
+		// On a machine that can't carry the load, calls are lost to their own timeout.
 		t.Logf("%s: sent %d answered %d lost %d refused %v", r.Kind, r.Sent, r.Answered, r.Lost, r.Refused)
 		if r.Refused[refuser.ReasonPoison] > 0 {
-			t.Errorf("%s: a popular request was taken for poison", r.Kind)
+			t.Errorf("%s: a popular request was treated as poison", r.Kind)
 		}
 		if r.Wrong > 0 {
 			t.Errorf("%s: %d wrong answers", r.Kind, r.Wrong)
--- a/internal/relayer/cancel_test.go
+++ b/internal/relayer/cancel_test.go
@@ -15,8 +15,9 @@
 	"github.com/marigoldrelay/marigoldrelay/pkg/announcer"
 )
 
-// hangingUpstream takes requests, never answers, and tells when a connection is closed on it.
-func hangingUpstream(t *testing.T, node netip.AddrPort) (began, closed <-chan struct{}) {
+// startHangingUpstream starts an upstream that accepts requests and never answers. The channels signal that a
+// request has begun and that a connection was closed by its other end.
+func startHangingUpstream(t *testing.T, node netip.AddrPort) (began, closed <-chan struct{}) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -50,14 +51,14 @@
 	return beginnings, ends
 }
 
-// TestCallerGoesAway closes the caller's connection while its request runs at another node's
-// upstream. An idempotent request is cancelled there.
-func TestCallerGoesAway(t *testing.T) {
-	r := newRig(t, 0, responder.Behaviour{})
-	target := addStation(t, r.Deployment, demonstrator.Place{DataCentre: "flacq", Name: "target"})
-	began, closed := hangingUpstream(t, target.Settings.AnnounceAddress)
-	awaitServing(t, r.Deployment, 1)
-	conn, err := net.Dial("tcp", r.entry.Settings.CallerAddress.String())
+// TestCallerDisconnectsWhileRunning closes the caller's connection while its request runs at another node's
+// upstream. Since the request is idempotent, it must be cancelled there.
+func TestCallerDisconnectsWhileRunning(t *testing.T) {
+	c := newTestCluster(t, 0, responder.Behaviour{})
+	target := addStation(t, c.Deployment, demonstrator.Place{DataCentre: "flacq", Name: "target"})
+	began, closed := startHangingUpstream(t, target.Settings.AnnounceAddress)
+	awaitServing(t, c.Deployment, 1)
+	conn, err := net.Dial("tcp", c.entry.Settings.CallerAddress.String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -77,15 +78,15 @@
 	}
 }
 
-// TestCallerGoesAwayFromQueue closes the caller's connection while its request waits for a slot at another
-// node. The request leaves that queue and never runs.
-func TestCallerGoesAwayFromQueue(t *testing.T) {
-	r := newRig(t, 0, responder.Behaviour{})
-	target := addStation(t, r.Deployment, demonstrator.Place{DataCentre: "flacq", Name: "target"})
-	began, _ := hangingUpstream(t, target.Settings.AnnounceAddress)
-	awaitServing(t, r.Deployment, 1)
-	ask := func() net.Conn {
-		conn, err := net.Dial("tcp", r.entry.Settings.CallerAddress.String())
+// TestCallerDisconnectsWhileQueued closes the caller's connection while its request waits for a slot at another
+// node. The request must leave that queue and never run.
+func TestCallerDisconnectsWhileQueued(t *testing.T) {
+	c := newTestCluster(t, 0, responder.Behaviour{})
+	target := addStation(t, c.Deployment, demonstrator.Place{DataCentre: "flacq", Name: "target"})
+	began, _ := startHangingUpstream(t, target.Settings.AnnounceAddress)
+	awaitServing(t, c.Deployment, 1)
+	sendRequest := func() net.Conn {
+		conn, err := net.Dial("tcp", c.entry.Settings.CallerAddress.String())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -104,14 +105,14 @@
 			}
 		}
 	}
-	ask()
+	sendRequest()
 	<-began
-	// The target begins with fewer slots than its upstream has.
+	// The target's limit is lower at first than the number of its upstream's slots.
 	for target.Node.Status().Executor.Load.Running < target.Node.Status().Executor.Limit {
-		ask()
+		sendRequest()
 		<-began
 	}
-	waiting := ask()
+	waiting := sendRequest()
 	awaitQueued(1)
 	if err := waiting.Close(); err != nil {
 		t.Fatal(err)
--- a/internal/relayer/capacity_test.go
+++ b/internal/relayer/capacity_test.go
@@ -16,7 +16,7 @@
 	"github.com/marigoldrelay/marigoldrelay/internal/timekeeper"
 )
 
-// BenchmarkIdleNodes measures what control costs a node without calls, as the nodes grow.
+// BenchmarkIdleNodes measures the overhead of control for a node without calls, for growing numbers of nodes.
 func BenchmarkIdleNodes(b *testing.B) {
 	for _, count := range []int{10, 20, 40, 80} {
 		b.Run(strconv.Itoa(count), func(b *testing.B) {
@@ -27,8 +27,8 @@
 	}
 }
 
-// BenchmarkLoadedNodes measures what control costs a node at the design's 86 calls a second for
-// each node, with 8 nodes of one service at about 90% of their capacity.
+// BenchmarkLoadedNodes measures the overhead of control for a node at the design load of 86 calls per second per
+// node, with 8 nodes of one service at about 90% of their capacity.
 func BenchmarkLoadedNodes(b *testing.B) {
 	for range b.N {
 		measureNodes(b, 8, 86)
@@ -37,7 +37,7 @@
 
 var controlBytes = regexp.MustCompile(`marigoldrelay_control_bytes_total\{purpose="([a-z]+)"\} (\d+)`)
 
-// controlBytesOf sums the control bytes of all nodes by purpose.
+// controlBytesOf returns the control bytes of all nodes together, by purpose.
 func controlBytesOf(d *demonstrator.Deployment) map[string]float64 {
 	sums := make(map[string]float64)
 	for _, station := range d.Stations() {
@@ -53,7 +53,7 @@
 	return sums
 }
 
-func processorTime() time.Duration {
+func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		panic(err)
@@ -96,7 +96,7 @@
 	}
 	awaitServing(b, d, serving)
 	time.Sleep(5 * time.Second)
-	bytesBefore, processor := controlBytesOf(d), processorTime()
+	bytesBefore, cpuBefore := controlBytesOf(d), cpuTime()
 	if callsPerNode > 0 {
 		g := loadgenerator.New(timekeeper.System{}, loadgenerator.Config{
 			AnswerBytes: 200, Duration: measured, Kinds: []loadgenerator.Kind{{Method: "GET", Path: "/entries", Weight: 1}},
@@ -110,7 +110,7 @@
 		time.Sleep(measured)
 	}
 	perNode := float64(count) * measured.Seconds()
-	b.ReportMetric((processorTime()-processor).Seconds()*1e3/perNode, "ms-cpu/s/node")
+	b.ReportMetric((cpuTime()-cpuBefore).Seconds()*1e3/perNode, "ms-cpu/s/node")
 	for purpose, sum := range controlBytesOf(d) {
 		b.ReportMetric((sum-bytesBefore[purpose])/perNode, purpose+"-B/s/node")
 	}
--- a/internal/relayer/control.go
+++ b/internal/relayer/control.go
@@ -14,16 +14,17 @@
 	"github.com/marigoldrelay/marigoldrelay/pkg/announcer"
 )
 
-// ErrForming is returned for a change while the register has too few replicas to bear the losses that
-// it must.
-var ErrForming = merry.Sentinel("the register has too few replicas yet")
+// ErrTooFewReplicas is returned for a change while the register has too few replicas to survive the losses
+// that it has to tolerate.
+var ErrTooFewReplicas = merry.Sentinel("the register has too few replicas yet")
 
-// ErrUnknownService is wrapped by the error of an announcement for a service that is not configured.
+// ErrUnknownService is wrapped by the error for an announcement of a service that is not configured.
 var ErrUnknownService = merry.Sentinel("no such service")
 
-// Announce takes what the upstream beside the node says of itself.
+// Announce handles an announcement of the upstream beside the node. The error wraps ErrUnknownService if the
+// document in force does not have the service.
 func (n *Node) Announce(a announcer.Announcement) error {
-	if document := n.current(); document != nil {
+	if document := n.currentDocument(); document != nil {
 		if _, ok := document.ServiceNamed(a.Service); !ok {
 			return fmt.Errorf("%w: %s", ErrUnknownService, a.Service)
 		}
@@ -32,32 +33,33 @@
 	return err
 }
 
-// Withdraw notes that the upstream's process goes.
+// Withdraw records that the upstream's process is about to exit, as it has said itself. A zero born stands for any
+// start of the instance.
 func (n *Node) Withdraw(instance string, born int64) {
 	n.log.Info("The upstream says that it goes.", "instance", instance, "born", born)
 	n.registrar.Withdraw(instance, born)
 }
 
-// Change makes a version of the document.
+// Change makes a version of the document. It returns ErrTooFewReplicas while the register has too few replicas.
 func (n *Node) Change(ctx context.Context, change *replicator.Change) error {
-	if !n.isFormed() {
-		return ErrForming
+	if !n.acceptsChanges() {
+		return ErrTooFewReplicas
 	}
 	_, err := n.register.Change(ctx, change)
 	return err
 }
 
-// Read returns the newest value of the register, as a majority of its replicas knows it.
+// Read returns the newest value of the register, read from a majority of its replicas.
 func (n *Node) Read(ctx context.Context) (*replicator.Value, error) {
 	return n.register.Read(ctx)
 }
 
-// IsReady reports whether callers can be sent to the node: it has a document and does not leave.
+// IsReady reports whether callers can be sent to the node: it has a document and is not draining.
 func (n *Node) IsReady() bool {
-	return n.current() != nil && !n.leaving.Load()
+	return n.currentDocument() != nil && !n.draining.Load()
 }
 
-// Reload follows settings that have changed. Only seeds can change while the node runs.
+// Reload applies settings that have changed. Only new seeds take effect while the node runs.
 func (n *Node) Reload(settings *settingsreader.Settings) {
 	var added []netip.AddrPort
 	for _, seed := range settings.Seeds {
@@ -69,42 +71,43 @@
 	n.log.Info("The settings were read again.", "new-seeds", len(added))
 }
 
-// ReloadFailed notes that settings could not be read. The old ones stay in force.
+// ReloadFailed logs that the settings could not be read. The old ones stay in force.
 func (n *Node) ReloadFailed(err error) {
 	n.log.Error("The settings can't be read again.", "error", err)
 }
 
-// DrainFor hands new work to others and finishes what is in flight. For the time away everything goes on,
-// since callers need it to notice that the node is not ready; then the upstream is left to the node's
-// next start and no more requests are taken. It returns when nothing is in flight, or after the time most.
-func (n *Node) DrainFor(away, most time.Duration) {
-	n.log.Info("Draining.", "away", away, "most", most)
+// DrainFor hands new work to other nodes and finishes what is in flight. For the time notice everything goes on,
+// since callers need it to notice that the node is not ready. Then the upstream is left to the node's next start and
+// no more requests are accepted. DrainFor returns when nothing is in flight, or when the time limit has passed since
+// the call.
+func (n *Node) DrainFor(notice, limit time.Duration) {
+	n.log.Info("Draining.", "away", notice, "most", limit)
 	started := n.clock.Now()
-	n.leaving.Store(true)
-	for _, l := range n.entries {
+	n.draining.Store(true)
+	for _, l := range n.requestListeners {
 		l.Drain()
 	}
-	time.Sleep(away)
+	time.Sleep(notice)
 	self := n.gossiper.Self()
 	n.gossiper.SetUpstream(self.Service, self.Slots, announcer.StateDraining)
 	n.executor.Drain()
-	time.Sleep(min(settleTime, away))
-	if n.callers != nil {
-		n.callers.Shut()
+	time.Sleep(min(rerouteDelay, notice))
+	if n.callerListener != nil {
+		n.callerListener.Shut()
 	}
-	for n.inFlight() > 0 && n.clock.Now().Sub(started) < most {
-		time.Sleep(drainPoll)
+	for n.inFlight() > 0 && n.clock.Now().Sub(started) < limit {
+		time.Sleep(drainPollInterval)
 	}
 	n.gossiper.Leave()
 	n.log.Info("Drained.", "in-flight", n.inFlight(), "took", n.clock.Now().Sub(started))
 }
 
-// settleTime is how long the other nodes take to send their attempts elsewhere.
-const settleTime = 100 * time.Millisecond
+// rerouteDelay is how long the other nodes take to send their attempts elsewhere.
+const rerouteDelay = 100 * time.Millisecond
 
 func (n *Node) inFlight() int {
 	count := n.executor.Running()
-	for _, l := range n.entries {
+	for _, l := range n.requestListeners {
 		count += l.InFlight()
 	}
 	return count
--- a/internal/relayer/document.go
+++ b/internal/relayer/document.go
@@ -5,31 +5,32 @@
 	"github.com/marigoldrelay/marigoldrelay/internal/validator"
 )
 
-// inForce is the document that the node follows.
-type inForce struct {
-	// document is nil where the register holds none yet.
+// activeDocument is the document in force on the node.
+type activeDocument struct {
+	// document is nil if the register holds none yet.
 	document *validator.Document
 	// value is the register's value, or nil for the document that the settings name.
 	value *replicator.Value
 }
 
-// Preset puts a document in force until the register has one.
+// Preset puts a document in force until the register has one. It does nothing if one is already in force.
 func (n *Node) Preset(document *validator.Document) {
-	n.apply(document, nil)
+	n.activate(document, nil)
 }
 
-// apply puts a document in force unless a newer one is. The document is nil where the value holds none.
-func (n *Node) apply(document *validator.Document, value *replicator.Value) bool {
-	n.applying.Lock()
-	defer n.applying.Unlock()
-	old := n.document.Load()
+// activate puts a document in force, unless the current one is as new or newer, and reports whether it did. The
+// document is nil if the value holds none; the previous document then stays.
+func (n *Node) activate(document *validator.Document, value *replicator.Value) bool {
+	n.activateMu.Lock()
+	defer n.activateMu.Unlock()
+	old := n.active.Load()
 	if old != nil && (value == nil || value.Revision <= n.revision()) {
 		return false
 	}
 	if document == nil && old != nil {
 		document = old.document
 	}
-	n.document.Store(&inForce{document: document, value: value})
+	n.active.Store(&activeDocument{document: document, value: value})
 	if document != nil && (old == nil || old.document != document) {
 		n.configure(document)
 	}
@@ -41,19 +42,19 @@
 	return true
 }
 
-// configure makes the parts follow a document.
+// configure passes a document to the components that depend on it.
 func (n *Node) configure(document *validator.Document) {
 	n.executor.Configure(document)
 	n.dispatcher.Configure(document)
 	rate := float64(document.Budgets.ControlBytesPerSecond)
-	n.gossipBytes.SetRate(gossipPart * rate)
-	n.bindingBytes.SetRate(bindingPart * rate)
-	n.membershipBytes.SetRate(membershipPart * rate)
+	n.gossipBudget.SetRate(gossipShare * rate)
+	n.bindingBudget.SetRate(bindingShare * rate)
+	n.membershipBudget.SetRate(membershipShare * rate)
 }
 
-// current returns the document in force, or nil.
-func (n *Node) current() *validator.Document {
-	if current := n.document.Load(); current != nil {
+// currentDocument returns the document in force, or nil.
+func (n *Node) currentDocument() *validator.Document {
+	if current := n.active.Load(); current != nil {
 		return current.document
 	}
 	return nil
--- /dev/null
+++ b/internal/relayer/eventlog.go
@@ -0,0 +1,199 @@
+package relayer
+
+import (
+	"sync"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+	"github.com/valyala/fasthttp"
+
+	"github.com/marigoldrelay/marigoldrelay/internal/carrier"
+	"github.com/marigoldrelay/marigoldrelay/internal/dispatcher"
+	"github.com/marigoldrelay/marigoldrelay/internal/executor"
+	"github.com/marigoldrelay/marigoldrelay/internal/logger"
+	"github.com/marigoldrelay/marigoldrelay/internal/meter"
+	"github.com/marigoldrelay/marigoldrelay/internal/quarantiner"
+	"github.com/marigoldrelay/marigoldrelay/internal/refuser"
+	"github.com/marigoldrelay/marigoldrelay/internal/replicator"
+	"github.com/marigoldrelay/marigoldrelay/internal/timekeeper"
+)
+
+const (
+	// routineDivisor is the fraction, as 1 in so many, of the allowed lines that can be on routine events.
+	routineDivisor = 15
+	// traceDivisor is the fraction, as 1 in so many, of the requests of which every node logs all events.
+	traceDivisor = 32
+)
+
+// eventLog writes log lines on requests and on state that changes often, up to a limit per second. Lines on
+// routine events are left out first. Requests are selected by their ID, so that all nodes log the same ones. It is
+// safe for concurrent use.
+type eventLog struct {
+	clock timekeeper.Clock
+	// maxPerSecond is the limit on lines in one second.
+	maxPerSecond int
+	log          *logger.Part
+	meter        *meter.Meter
+
+	mu      sync.Mutex
+	routine int
+	second  int64
+	total   int
+}
+
+func newEventLog(clock timekeeper.Clock, maxPerSecond int, log *logger.Part, m *meter.Meter) *eventLog {
+	return &eventLog{clock: clock, maxPerSecond: maxPerSecond, log: log, meter: m}
+}
+
+// allows reports whether another line can be written now, and counts it.
+func (e *eventLog) allows(routine bool) bool {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if second := e.clock.Now().Unix(); second != e.second {
+		e.second, e.routine, e.total = second, 0, 0
+	}
+	if e.total >= e.maxPerSecond || (routine && e.routine >= e.maxPerSecond/routineDivisor) {
+		e.meter.Event("log_lines_left_out")
+		return false
+	}
+	e.total++
+	if routine {
+		e.routine++
+	}
+	return true
+}
+
+// isTraced reports whether all events of the request are logged.
+func isTraced(request string) bool {
+	return request != "" && xxhash.Sum64String(request)%traceDivisor == 0
+}
+
+// write writes a line, unless the limit for lines of its kind is reached.
+func (e *eventLog) write(routine bool, message string, keyvals ...any) {
+	if e.allows(routine) {
+		e.log.Info(message, keyvals...)
+	}
+}
+
+// callFinished counts a call that has ended at this entry node and logs it, unless it is a success that is not
+// traced.
+func (n *Node) callFinished(call *dispatcher.Call, journey *dispatcher.Journey, resp *fasthttp.Response, refusal *refuser.Refusal) {
+	took := n.clock.Now().Sub(call.Started)
+	n.meter.Finished(call.Service, call.Rank, outcomeLabel(resp, refusal), took, journey.LoadAge)
+	isGood := refusal == nil && resp.StatusCode() < fasthttp.StatusBadRequest
+	if isGood && !isTraced(call.Request) {
+		return
+	}
+	fields := []any{
+		"request", call.Request, "call", call.ID, "route", call.Route, "service", call.Service, "rank", call.Rank,
+		"target", journey.Target, "tries", journey.Tries, "arrivals", journey.Arrivals, "hand-backs", journey.HandBacks,
+		"over-budget", journey.OverBudget, "hedged", journey.Hedged,
+		"believed-load", journey.Load, "believed-slow", journey.Slow, "load-age", journey.LoadAge,
+		"took", took, "left", call.Deadline.Sub(n.clock.Now()), "version", n.documentVersion(),
+	}
+	if refusal != nil {
+		n.events.write(false, "A call was refused.", append(fields, "reason", refusal.Reason, "not-run", refusal.NotRun,
+			"retry-after", refusal.RetryAfter, "detail", refusal.Detail)...)
+		return
+	}
+	n.events.write(isGood, "A call was answered.", append(fields, "status", resp.StatusCode())...)
+}
+
+// outcomeLabel returns the metrics label for the outcome of a call.
+func outcomeLabel(resp *fasthttp.Response, refusal *refuser.Refusal) string {
+	switch {
+	case refusal != nil:
+		return string(refusal.Reason)
+	case resp.StatusCode() >= fasthttp.StatusInternalServerError:
+		return "error-answer"
+	default:
+		return "answered"
+	}
+}
+
+// callHedged logs that a second try of a call begins beside the first.
+func (n *Node) callHedged(call *dispatcher.Call, first, second string, reason meter.RetryReason) {
+	n.events.write(!isTraced(call.Request), "A second try begins.", "request", call.Request, "call", call.ID,
+		"first", first, "second", second, "reason", reason, "took", n.clock.Now().Sub(call.Started))
+}
+
+// retryRefused logs that a call was refused a further try.
+func (n *Node) retryRefused(call *dispatcher.Call, target string, reason meter.RetryRefusal) {
+	n.events.write(!isTraced(call.Request), "A further try is refused.", "request", call.Request, "call", call.ID,
+		"target", target, "neighbour", call.Neighbour, "reason", reason, "took", n.clock.Now().Sub(call.Started))
+}
+
+// requestBarred logs that a kind of request is no longer run because upstreams crashed while it ran.
+func (n *Node) requestBarred(fingerprint quarantiner.Fingerprint, upstreams int, d time.Duration) {
+	n.log.Warn("A request is barred: upstreams crashed while it ran.", "fingerprint", fingerprint, "upstreams", upstreams, "for", d)
+}
+
+// roundFinished logs a round of the register that this node has run.
+func (n *Node) roundFinished(round replicator.Round) {
+	n.events.write(round.Err == nil && round.Ballots == 1, "A round of the register has ended.", "ballots", round.Ballots,
+		"took", round.Took, "revision", round.Revision, "error", round.Err)
+}
+
+// arrivalLogInterval is how often a node logs the arrivals at its upstream.
+const arrivalLogInterval = 2 * time.Second
+
+// newArrivalLogger returns a function that logs how many requests have arrived at the upstream since its last call,
+// by whether they were the first try of their request.
+func (n *Node) newArrivalLogger() func() {
+	type kind struct {
+		service string
+		try     carrier.Try
+	}
+	logged := make(map[kind]uint64)
+	return func() {
+		service := n.service()
+		if service == "" {
+			return
+		}
+		fields := []any{"service", service}
+		changed := false
+		for _, try := range carrier.Tries() {
+			count, previous := n.meter.ArrivalCount(service, try.String()), logged[kind{service, try}]
+			fields = append(fields, try.String(), count-previous)
+			changed = changed || count != previous
+			logged[kind{service, try}] = count
+		}
+		if changed {
+			n.log.Info("Arrivals at the upstream.", fields...)
+		}
+	}
+}
+
+// isRoutine reports whether the outcome is normal in operation: an answer, a request that was handed back, or the
+// loser of two tries.
+func isRoutine(outcome *carrier.Outcome) bool {
+	if outcome.Refusal == nil {
+		return true
+	}
+	switch outcome.Refusal.Reason {
+	case refuser.ReasonBusy, refuser.ReasonCancelled:
+		return true
+	default:
+		return false
+	}
+}
+
+// attemptFinished logs an attempt that has ended at the node beside the upstream, unless its outcome is routine and
+// its request is not traced.
+func (n *Node) attemptFinished(x *executor.Execution, outcome *carrier.Outcome, seen executor.Seen) {
+	routine := isRoutine(outcome)
+	if routine && !isTraced(x.Attempt.Request) {
+		return
+	}
+	fields := []any{
+		"request", x.Attempt.Request, "call", x.Attempt.Call, "try", x.Attempt.Try, "sender", x.Attempt.Sender, "sequence", x.Attempt.Sequence,
+		"instance", seen.Instance, "running", seen.Running, "queued", seen.Queued, "slowdown", seen.Slowdown,
+		"load-age", seen.LoadAge, "took", seen.Took, "used", outcome.Used, "optional", x.Attempt.Optional,
+		"arrived", outcome.Arrived,
+	}
+	if refusal := outcome.Refusal; refusal != nil {
+		n.events.write(routine, "An attempt was refused.", append(fields, "reason", refusal.Reason, "not-run", refusal.NotRun, "detail", refusal.Detail)...)
+		return
+	}
+	n.events.write(true, "An attempt was answered.", append(fields, "status", x.Response.StatusCode())...)
+}
--- a/internal/relayer/leader.go
+++ b/internal/relayer/leader.go
@@ -13,15 +13,14 @@
 )
 
 const (
-	// forwardTime is how long the leader may take before the node makes the round itself.
-	forwardTime = 400 * time.Millisecond
-	// passOverTime is for how long a leader that has not answered is passed over.
-	passOverTime = 2 * time.Second
+	// forwardTimeout is how long the leader has to answer before the node runs the round itself.
+	forwardTimeout = 400 * time.Millisecond
+	// leaderSkipTime is how long a leader that did not answer is skipped.
+	leaderSkipTime = 2 * time.Second
 )
 
-// leader returns the replica that makes the rounds while it is well: the first by name that is alive.
-// It only keeps rounds from outbidding each other. Any node can make one, and nodes may disagree on
-// who leads.
+// leader returns the replica that normally runs the rounds: the first by name of those that are alive. It only keeps
+// concurrent rounds from preempting each other. Any node can run a round, and nodes may disagree on the leader.
 func (r *register) leader() (gossiper.Member, bool) {
 	local := r.Local()
 	if local == nil {
@@ -30,7 +29,7 @@
 	var live []gossiper.Member
 	for _, replica := range local.Replicas {
 		m, ok := r.node.gossiper.Member(replica.VM)
-		if ok && m.Status == gossiper.StatusAlive && m.DiskID == replica.DiskID && !r.isPassedOver(m.Name) {
+		if ok && m.Status == gossiper.StatusAlive && m.DiskID == replica.DiskID && !r.isSkipped(m.Name) {
 			live = append(live, m)
 		}
 	}
@@ -40,32 +39,33 @@
 	return slices.MinFunc(live, func(a, b gossiper.Member) int { return strings.Compare(a.Name, b.Name) }), true
 }
 
-func (r *register) isPassedOver(name string) bool {
+func (r *register) isSkipped(name string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.node.clock.Now().Before(r.passedOver[name])
+	return r.node.clock.Now().Before(r.skippedUntil[name])
 }
 
-func (r *register) passOver(name string) {
+func (r *register) skipLeader(name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.passedOver == nil {
-		r.passedOver = make(map[string]time.Time)
+	if r.skippedUntil == nil {
+		r.skippedUntil = make(map[string]time.Time)
 	}
-	r.passedOver[name] = r.node.clock.Now().Add(passOverTime)
+	r.skippedUntil[name] = r.node.clock.Now().Add(leaderSkipTime)
 }
 
-// changeReply is the leader's answer to a change. Conflict and IsBelow tell why it is refused.
+// changeReply is the leader's answer to a change. If the change was refused, Conflict or IsBelow tells why.
 type changeReply struct {
 	Conflict *replicator.ConflictError `json:"conflict,omitempty"`
-	// Document is what is in force after the change: the leader may die before it has pushed it.
-	Document *pulled `json:"document,omitempty"`
-	IsBelow  bool    `json:"is-below,omitempty"`
-	Version  uint64  `json:"version,omitempty"`
+	// Document is the one in force after the change. The reply contains it because the leader may die before it has
+	// pushed it.
+	Document *packedDocument `json:"document,omitempty"`
+	IsBelow  bool            `json:"is-below,omitempty"`
+	Version  uint64          `json:"version,omitempty"`
 }
 
-// replyOf returns the answer for the outcome of a change. An outcome that is not known stays an error.
-func replyOf(version uint64, err error) (changeReply, error) {
+// newChangeReply returns the reply for the outcome of a change. An unknown outcome stays an error.
+func newChangeReply(version uint64, err error) (changeReply, error) {
 	var conflict *replicator.ConflictError
 	switch {
 	case err == nil:
@@ -75,33 +75,34 @@
 	case errors.Is(err, replicator.ErrVersion):
 		return changeReply{IsBelow: true}, nil
 	default:
-		return changeReply{}, wireError(err)
+		return changeReply{}, rpcError(err)
 	}
 }
 
-// forward has the leader make the change. It reports false where the node has to do it itself, because
-// it leads or the leader has not answered. Making it twice is harmless: the change has an id.
+// forward sends the change to the leader. It returns false if the node has to make the change itself, because it is
+// the leader, no leader is known, or the leader did not answer. Making a change twice is harmless, since the change
+// has an ID.
 func (r *register) forward(ctx context.Context, change *replicator.Change) (reply changeReply, ok bool) {
 	leader, found := r.leader()
 	if !found || leader.Name == r.node.settings.Name {
 		return changeReply{}, false
 	}
-	ctx, cancel := context.WithTimeout(ctx, forwardTime)
+	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
 	if err := r.node.messenger.Call(ctx, leader.Control, messenger.PurposeConfiguration, methodChange, change, &reply); err != nil {
 		r.node.log.Warn("The leader has not made a change.", "leader", leader.Name, "id", change.ID, "error", err)
-		r.passOver(leader.Name)
+		r.skipLeader(leader.Name)
 		return changeReply{}, false
 	}
 	if reply.Document != nil {
-		if err := r.node.take(reply.Document); err != nil {
-			r.node.log.Error("The document that the leader has made can't be followed.", "error", err)
+		if err := r.node.activatePacked(reply.Document); err != nil {
+			r.node.log.Error("The document from the leader could not be activated.", "error", err)
 		}
 	}
 	return reply, true
 }
 
-// outcome returns what the reply stands for.
+// outcome returns the version or the error that the reply stands for.
 func (c changeReply) outcome() (version uint64, err error) {
 	switch {
 	case c.Conflict != nil:
--- a/internal/relayer/maintain.go
+++ b/internal/relayer/maintain.go
@@ -16,39 +16,40 @@
 const (
 	maintainInterval = 200 * time.Millisecond
 	maintainTimeout  = 3 * time.Second
-	// formTime is how long a new register waits for nodes that it does not know of before it is used with
-	// fewer replicas than wanted, and growTime how long for those that it knows of.
-	formTime = 6 * time.Second
-	growTime = 20 * time.Second
-	// settledTime is how long a node runs until it knows the others.
-	settledTime = 5 * time.Second
+	// formTimeout is how long a new register waits for nodes that it does not know of before it is used with fewer
+	// replicas than wanted, and growTimeout how long it waits for those that it knows of.
+	formTimeout = 6 * time.Second
+	growTimeout = 20 * time.Second
+	// membershipSettleTime is how long a node runs until it knows the others.
+	membershipSettleTime = 5 * time.Second
 )
 
-// maintain forms the register and keeps its replicas where no operator names them.
-func (n *Node) maintain(ctx context.Context) {
+// maintainRegister forms the register and maintains its set of replicas until ctx is done, in deployments where no
+// operator names the replicas.
+func (n *Node) maintainRegister(ctx context.Context) {
 	if !n.settings.SelfForming || n.register.acceptor == nil {
 		return
 	}
-	var waiting time.Time
-	every(ctx, maintainInterval, func() {
+	var waitingSince time.Time
+	runEvery(ctx, maintainInterval, func() {
 		now := n.clock.Now()
-		bounded, cancel := context.WithTimeout(ctx, maintainTimeout)
+		roundCtx, cancel := context.WithTimeout(ctx, maintainTimeout)
 		defer cancel()
 		if n.register.Local() == nil {
-			n.form(bounded)
+			n.formRegister(roundCtx)
 			return
 		}
 		view := n.maintainerView()
 		replicas, changed := maintainer.Next(view)
 		if !changed {
-			waiting = time.Time{}
+			waitingSince = time.Time{}
 			return
 		}
-		if waiting.IsZero() {
-			waiting = now
+		if waitingSince.IsZero() {
+			waitingSince = now
 		}
-		if maintainer.Acts(view, n.settings.Name, now.Sub(waiting)) {
-			n.reconfigure(bounded, replicas)
+		if maintainer.Acts(view, n.settings.Name, now.Sub(waitingSince)) {
+			n.reconfigure(roundCtx, replicas)
 		}
 	})
 }
@@ -56,7 +57,7 @@
 func (n *Node) maintainerView() maintainer.View {
 	view := maintainer.View{
 		Replicas: n.register.Local().Replicas,
-		Settled:  n.clock.Now().Sub(n.started) > settledTime,
+		Settled:  n.clock.Now().Sub(n.started) > membershipSettleTime,
 		Wanted:   n.wantedReplicas(),
 	}
 	for _, record := range n.gossiper.Records() {
@@ -69,7 +70,7 @@
 	return view
 }
 
-// wantedReplicas is the number of which a majority outlasts the tolerated losses.
+// wantedReplicas returns the number of replicas of which a majority survives the tolerated losses.
 func (n *Node) wantedReplicas() int {
 	return 2*n.settings.ToleratedLosses + 1
 }
@@ -78,16 +79,16 @@
 	local := n.register.Local()
 	value, err := n.register.proposer.Reconfigure(ctx, local.Revision, replicas)
 	if err != nil {
-		n.log.Warn("The replicas could not be changed.", "error", err, "revision", local.Revision, "wanted", names(replicas))
+		n.log.Warn("The replicas could not be changed.", "error", err, "revision", local.Revision, "wanted", replicaNames(replicas))
 		return
 	}
-	n.log.Info("The replicas are changed.", "revision", value.Revision, "replicas", names(value.Replicas))
+	n.log.Info("The replicas are changed.", "revision", value.Revision, "replicas", replicaNames(value.Replicas))
 	if err := n.register.publish(value); err != nil {
-		n.log.Error("The value of the register can't be followed.", "error", err)
+		n.log.Error("The value of the register could not be activated.", "error", err)
 	}
 }
 
-func names(replicas []replicator.Replica) string {
+func replicaNames(replicas []replicator.Replica) string {
 	text := ""
 	for _, replica := range replicas {
 		text += replica.VM + "/" + replica.DiskID[:min(4, len(replica.DiskID))] + " "
@@ -95,49 +96,49 @@
 	return text
 }
 
-// form makes the register at the first start of the deployment, on the seeds. A replica that holds a
-// value from before reads it instead.
-func (n *Node) form(ctx context.Context) {
+// formRegister creates the register on the seeds when the deployment starts for the first time. A replica that
+// already holds a value reads the register instead.
+func (n *Node) formRegister(ctx context.Context) {
 	if n.register.acceptor.Accepted() != nil {
 		if _, err := n.register.Read(ctx); err != nil {
 			n.log.Warn("The register can't be read yet.", "error", err)
 		}
 		return
 	}
-	founders, isFounder := n.founders()
-	if !n.settings.Bootstrap || !isFounder || len(founders) < len(n.settings.Seeds) {
+	seeds, isSeed := n.seedReplicas()
+	if !n.settings.Bootstrap || !isSeed || len(seeds) < len(n.settings.Seeds) {
 		return
 	}
-	// Founders that begin at the same moment would outbid each other.
-	if rand.N(len(founders)) != 0 {
+	// Seeds that start rounds at the same moment would preempt each other's ballots.
+	if rand.N(len(seeds)) != 0 {
 		return
 	}
-	value, err := n.register.proposer.Form(ctx, founders)
+	value, err := n.register.proposer.Form(ctx, seeds)
 	if err != nil {
 		n.log.Warn("The register is not formed yet.", "error", err)
 		return
 	}
-	n.log.Info("The register is formed.", "replicas", names(value.Replicas))
+	n.log.Info("The register is formed.", "replicas", replicaNames(value.Replicas))
 	if err := n.register.publish(value); err != nil && !errors.Is(err, context.Canceled) {
-		n.log.Error("The value of the register can't be followed.", "error", err)
+		n.log.Error("The value of the register could not be activated.", "error", err)
 	}
 }
 
-// founders returns the seeds with their disks as far as they are known, and whether the node is one.
-func (n *Node) founders() ([]replicator.Replica, bool) {
-	var founders []replicator.Replica
+// seedReplicas returns the live seeds whose disks are known, as replicas, and whether this node is a seed.
+func (n *Node) seedReplicas() ([]replicator.Replica, bool) {
+	var seeds []replicator.Replica
 	for _, m := range n.gossiper.Members() {
 		isSeed := slices.ContainsFunc(n.settings.Seeds, func(seed netip.AddrPort) bool { return seed == m.Control })
 		if isSeed && m.DiskID != "" && m.Status <= gossiper.StatusSuspect {
-			founders = append(founders, replicator.Replica{DiskID: m.DiskID, VM: m.Name})
+			seeds = append(seeds, replicator.Replica{DiskID: m.DiskID, VM: m.Name})
 		}
 	}
 	isSelf := func(seed netip.AddrPort) bool { return seed == n.settings.ControlAddress }
-	return founders, slices.ContainsFunc(n.settings.Seeds, isSelf)
+	return seeds, slices.ContainsFunc(n.settings.Seeds, isSelf)
 }
 
-// isFormed reports whether the register bears the tolerated losses, or has had time enough to get there.
-func (n *Node) isFormed() bool {
+// acceptsChanges reports whether the register survives the tolerated losses, or has had enough time to get there.
+func (n *Node) acceptsChanges() bool {
 	local := n.register.Local()
 	if local == nil {
 		return false
@@ -145,14 +146,14 @@
 	if len(local.Replicas) >= n.wantedReplicas() {
 		return true
 	}
-	return hadTimeToForm(n.maintainerView(), n.clock.Now().Sub(n.started))
+	return formingTimedOut(n.maintainerView(), n.clock.Now().Sub(n.started))
 }
 
-// hadTimeToForm reports whether a register with fewer replicas than wanted is used as it is, so long after the
-// start: a change that it acknowledges does not outlast the tolerated losses.
-func hadTimeToForm(view maintainer.View, running time.Duration) bool {
+// formingTimedOut reports whether a register with fewer replicas than wanted is used as it is after the node has
+// been running for so long. A change that such a register acknowledges does not survive the tolerated losses.
+func formingTimedOut(view maintainer.View, running time.Duration) bool {
 	if _, grows := maintainer.Next(view); grows {
-		return running > growTime
+		return running > growTimeout
 	}
-	return running > formTime
+	return running > formTimeout
 }
--- a/internal/relayer/node.go
+++ b/internal/relayer/node.go
@@ -1,4 +1,4 @@
-// Package relayer composes the parts of one node and runs its duties.
+// Package relayer assembles the components of one node and runs its background tasks.
 package relayer
 
 import (
@@ -45,100 +45,105 @@
 )
 
 const (
-	defaultControlRate = 7000.0
-	drainPoll          = 10 * time.Millisecond
-	drainTimeout       = 30 * time.Second
-	bindingPart        = 0.4
-	gossipPart         = 0.35
-	membershipPart     = 0.15
-	leaveTime          = 500 * time.Millisecond
-	shutdownTimeout    = 300 * time.Millisecond
+	// defaultControlBytesPerSecond is the budget for control traffic until a document sets one.
+	defaultControlBytesPerSecond = 7000.0
+	drainPollInterval            = 10 * time.Millisecond
+	drainTimeout                 = 30 * time.Second
+	// bindingShare, gossipShare and membershipShare are the fractions of that budget for each purpose.
+	bindingShare    = 0.4
+	gossipShare     = 0.35
+	membershipShare = 0.15
+	// leaveDelay is how long a draining node goes on as before, so that its callers can notice, and how long Drain
+	// waits after the node has left.
+	leaveDelay      = 500 * time.Millisecond
+	shutdownTimeout = 300 * time.Millisecond
 )
 
-// Node is one process beside an upstream.
+// Node is a load balancer process that runs beside an upstream, if there is one.
 type Node struct {
 	settings *settingsreader.Settings
 	secrets  *settingsreader.Secrets
 	clock    timekeeper.Clock
-	logs     log.Logger
+	baseLog  log.Logger
 	log      *logger.Part
 
-	administrator   *administrator.Administrator
-	applying        sync.Mutex
-	behind          chan gossiper.Member
-	bindingBytes    *budgeter.Bytes
-	carrier         *carrier.Carrier
-	differing       chan netip.AddrPort
-	claims          *claimer.Table
-	dispatcher      *dispatcher.Dispatcher
-	document        atomic.Pointer[inForce]
-	executor        *executor.Executor
-	gossipBytes     *budgeter.Bytes
-	gossiper        *gossiper.Gossiper
-	hints           *hintreader.Reader
-	incarnation     uint64
-	peerOptions     []forwarder.Option
-	membershipBytes *budgeter.Bytes
-	messenger       *messenger.Messenger
-	meter           *meter.Meter
-	newcomers       chan gossiper.Member
-	quarantiner     *quarantiner.Quarantiner
-	recorder        *recorder.Recorder
-	register        *register
-	registrar       *registrar.Registrar
-	router          *router.Router
-	sharers         *sharers
-	upstream        *localUpstream
-	// callers is nil on a node that takes no callers' requests.
-	callers     *listener.Listener
-	entries     []*listener.Listener
-	interpreter Interpreter
-	parse       func(text []byte) (*validator.Document, error)
-	policy      router.Policy
-	prober      *prober.Prober
+	administrator    *administrator.Administrator
+	activateMu       sync.Mutex
+	pullSources      chan gossiper.Member
+	bindingBudget    *budgeter.Bytes
+	carrier          *carrier.Carrier
+	differingPeers   chan netip.AddrPort
+	claimTable       *claimer.Table
+	dispatcher       *dispatcher.Dispatcher
+	active           atomic.Pointer[activeDocument]
+	executor         *executor.Executor
+	gossipBudget     *budgeter.Bytes
+	gossiper         *gossiper.Gossiper
+	hints            *hintreader.Reader
+	incarnation      uint64
+	peerOptions      []forwarder.Option
+	membershipBudget *budgeter.Bytes
+	messenger        *messenger.Messenger
+	meter            *meter.Meter
+	crashReplayQueue chan gossiper.Member
+	quarantiner      *quarantiner.Quarantiner
+	recorder         *recorder.Recorder
+	register         *register
+	registrar        *registrar.Registrar
+	router           *router.Router
+	peakNodes        *peakNodeCount
+	upstream         *localUpstream
+	// callerListener is nil on a node that does not accept requests from callers.
+	callerListener   *listener.Listener
+	requestListeners []*listener.Listener
+	interpreter      Interpreter
+	parseDocument    func(text []byte) (*validator.Document, error)
+	policy           router.Policy
+	prober           *prober.Prober
 
-	duties    sync.WaitGroup
-	listeners []net.Listener
-	servers   []*fasthttp.Server
-	socket    *net.UDPConn
-	leaving   atomic.Bool
-	journal   *journal
-	started   time.Time
-	stop      context.CancelFunc
-	tracker   *conntracker.Tracker
+	tasks    sync.WaitGroup
+	sockets  []net.Listener
+	servers  []*fasthttp.Server
+	udpConn  *net.UDPConn
+	draining atomic.Bool
+	events   *eventLog
+	started  time.Time
+	stop     context.CancelFunc
+	tracker  *conntracker.Tracker
 }
 
-// New builds a node. Start runs it.
-func New(settings *settingsreader.Settings, secrets *settingsreader.Secrets, logs log.Logger, options ...Option) (*Node, error) {
+// New builds a node but opens no listener; Start does that. It returns an error if the data folder can't be opened
+// or the gossip codec can't be created.
+func New(settings *settingsreader.Settings, secrets *settingsreader.Secrets, baseLog log.Logger, options ...Option) (*Node, error) {
 	n := &Node{
-		settings:  settings,
-		secrets:   secrets,
-		behind:    make(chan gossiper.Member, 1),
-		clock:     timekeeper.System{},
-		differing: make(chan netip.AddrPort, 1),
-		logs:      logs,
-		log:       logger.NewPart(logs, "node"),
-		meter:     meter.New(),
-		newcomers: make(chan gossiper.Member, newcomersKept),
-		tracker:   conntracker.New(),
+		settings:         settings,
+		secrets:          secrets,
+		pullSources:      make(chan gossiper.Member, 1),
+		clock:            timekeeper.System{},
+		differingPeers:   make(chan netip.AddrPort, 1),
+		baseLog:          baseLog,
+		log:              logger.NewPart(baseLog, "node"),
+		meter:            meter.New(),
+		crashReplayQueue: make(chan gossiper.Member, crashReplayQueueLen),
+		tracker:          conntracker.New(),
 	}
-	n.journal = newJournal(n.clock, n.settings.LogLines, n.log, n.meter)
-	n.sharers = newSharers(n.clock)
+	n.events = newEventLog(n.clock, n.settings.LogLines, n.log, n.meter)
+	n.peakNodes = newPeakNodeCount(n.clock)
 	n.interpreter = interpreter.Native{}
-	n.parse = validator.Parse
+	n.parseDocument = validator.Parse
 	n.policy = router.Weighted{}
 	n.peerOptions = []forwarder.Option{forwarder.WithMaxBody(settings.MaxBodyBytes + settings.MaxHeaderBytes)}
 	for _, option := range options {
 		option(n)
 	}
 	n.incarnation = uint64(n.clock.Now().UnixMilli())
-	n.bindingBytes = budgeter.NewBytes(n.clock, bindingPart*defaultControlRate)
-	n.gossipBytes = budgeter.NewBytes(n.clock, gossipPart*defaultControlRate)
-	n.membershipBytes = budgeter.NewBytes(n.clock, membershipPart*defaultControlRate)
-	n.messenger = messenger.New(secrets.Key, spending{n})
-	n.quarantiner = quarantiner.New(n.clock, n.barred)
+	n.bindingBudget = budgeter.NewBytes(n.clock, bindingShare*defaultControlBytesPerSecond)
+	n.gossipBudget = budgeter.NewBytes(n.clock, gossipShare*defaultControlBytesPerSecond)
+	n.membershipBudget = budgeter.NewBytes(n.clock, membershipShare*defaultControlBytesPerSecond)
+	n.messenger = messenger.New(secrets.Key, controlByteMeter{n})
+	n.quarantiner = quarantiner.New(n.clock, n.requestBarred)
 	n.recorder = recorder.New(n.clock)
-	n.claims = claimer.NewTable(n.clock)
+	n.claimTable = claimer.NewTable(n.clock)
 	n.upstream = newLocalUpstream(n.clock, n.interpreter, func(load interpreter.Load) { n.executor.Report(load) },
 		forwarder.WithMaxBody(settings.MaxBodyBytes), forwarder.WithUnframed())
 	n.router = router.New(n.clock, newRandom(), n.policy, settings.Region, settings.DataCentre)
@@ -148,11 +153,11 @@
 	if err := n.buildGossiper(); err != nil {
 		return nil, err
 	}
-	n.buildCalls()
+	n.buildCallPath()
 	console := formserver.New(n.clock, n.register, secrets.AdminToken)
-	n.administrator = administrator.New(n.register, reporter{n}, secrets.AdminToken, console.Serve)
-	n.registrar = registrar.NewWithLease(n.clock, settings.UpstreamLease.Std(), n.announced)
-	n.prober = prober.New(n.clock, n.meter, n.interpreter, probed{n})
+	n.administrator = administrator.New(n.register, statusReporter{n}, secrets.AdminToken, console.Serve)
+	n.registrar = registrar.NewWithLease(n.clock, settings.UpstreamLease.Std(), n.upstreamAnnounced)
+	n.prober = prober.New(n.clock, n.meter, n.interpreter, proberNode{n})
 	n.hints = hintreader.New(n.clock, n.meter, func() hintreader.Observation {
 		status := n.executor.Status()
 		return hintreader.Observation{
@@ -160,7 +165,7 @@
 			Running: status.Load.Running, Slots: status.Load.Slots,
 		}
 	})
-	n.handleMessages()
+	n.addMessageHandlers()
 	n.registerGauges()
 	asserter.Observe(func(name, detail string) {
 		n.log.Error("An invariant failed.", "invariant", name, "detail", detail)
@@ -179,7 +184,7 @@
 		return err
 	}
 	n.gossiper = gossiper.New(gossiper.Config{
-		Budget:   n.gossipBytes,
+		Budget:   n.gossipBudget,
 		Clock:    n.clock,
 		Codec:    codec,
 		Observer: n,
@@ -200,21 +205,21 @@
 	return nil
 }
 
-func (n *Node) buildCalls() {
+func (n *Node) buildCallPath() {
 	sender := fmt.Sprintf("%s.%x", n.settings.Name, n.incarnation)
 	n.carrier = carrier.New(n.clock, n.secrets.Key, sender, n.gossiper, n.meter, n.peerOptions...)
-	links := &links{
+	peers := &peerClient{
 		messenger: n.messenger, self: n.settings.Name, siblings: n.router.Members,
-		tellLoad: func(entries []string, load gossiper.Load) {
-			n.dispatcher.LoadSeen(n.settings.Name, fromGossip(load))
+		sendLoad: func(entries []string, load gossiper.Load) {
+			n.dispatcher.LoadSeen(n.settings.Name, loadFromGossip(load))
 			n.gossiper.TellLoad(entries, load)
 		},
 	}
 	n.executor = executor.New(executor.Config{
-		Attempted:   n.attempted,
-		Bytes:       n.bindingBytes,
+		Attempted:   n.attemptFinished,
+		Bytes:       n.bindingBudget,
 		Clock:       n.clock,
-		Links:       links,
+		Links:       peers,
 		Meter:       n.meter,
 		Name:        n.settings.Name,
 		OnDown:      func(instance string) { n.registrar.Down(instance) },
@@ -222,7 +227,7 @@
 		Recorder:    n.recorder,
 		Repeats:     budgeter.NewRepeats(n.clock, n.repeatLimits),
 		Sender:      n.carrier,
-		Siblings:    &siblings{Router: n.router, gossiper: n.gossiper},
+		Siblings:    &siblingDirectory{Router: n.router, gossiper: n.gossiper},
 		Stamp: func(a *carrier.Attempt, req *fasthttp.Request, instance string, deadline time.Time) {
 			carrier.Stamp(n.secrets.Key, a, req, deadline)
 			n.interpreter.WriteHop(&req.Header, interpreter.Hop{
@@ -233,12 +238,12 @@
 	})
 	n.dispatcher = dispatcher.New(dispatcher.Config{
 		Caller:      n.service,
-		Claims:      claimer.New(n.clock, links, n),
+		Claims:      claimer.New(n.clock, peers, n),
 		Clock:       n.clock,
 		FailedBelow: n.executor.FailedBelow,
-		Finished:    n.finished,
-		Hedged:      n.hedged,
-		NotRetried:  n.notRetried,
+		Finished:    n.callFinished,
+		Hedged:      n.callHedged,
+		NotRetried:  n.retryRefused,
 		Interpreter: n.interpreter,
 		Meter:       n.meter,
 		Name:        sender,
@@ -248,25 +253,27 @@
 		Runs:    n.executor,
 		Retries: budgeter.NewRetries(n.retryRatio),
 		Self:    n.settings.Name,
-		Sender:  &nearSender{carrier: n.carrier, executor: n.executor, self: n.settings.Name},
-		Targets: &targets{Router: n.router, node: n},
+		Sender:  &attemptSender{carrier: n.carrier, executor: n.executor, self: n.settings.Name},
+		Targets: &targetRouter{Router: n.router, node: n},
 	})
 }
 
-// targets is the router, and passes on to the executor what nodes of its own service have learned.
-type targets struct {
+// targetRouter is the dispatcher's router. It also passes on to the executor what nodes of the same service have
+// learned about their upstreams.
+type targetRouter struct {
 	*router.Router
 	node *Node
 }
 
 // Learn implements dispatcher.Targets.
-func (t *targets) Learn(name string, load carrier.Load, failed bool) {
+func (t *targetRouter) Learn(name string, load carrier.Load, failed bool) {
 	t.Router.Learn(name, load, failed)
-	t.node.learnFrom(name, load)
+	t.node.reportSiblingLoad(name, load)
 }
 
-// learnFrom has the executor take what another node has learned of its upstream.
-func (n *Node) learnFrom(name string, load carrier.Load) {
+// reportSiblingLoad passes the load that another node reports to the executor, if that node has learned with which
+// part of its slots the upstream gets most done.
+func (n *Node) reportSiblingLoad(name string, load carrier.Load) {
 	if load.Best == 0 || name == n.settings.Name {
 		return
 	}
@@ -275,18 +282,19 @@
 	}
 }
 
-// siblings joins what the router and the gossiper know for the executor.
-type siblings struct {
+// siblingDirectory combines the router and the gossiper into what the executor needs to know about other nodes.
+type siblingDirectory struct {
 	*router.Router
 	gossiper *gossiper.Gossiper
 }
 
 // Member implements executor.Siblings.
-func (s *siblings) Member(name string) (gossiper.Member, bool) {
+func (s *siblingDirectory) Member(name string) (gossiper.Member, bool) {
 	return s.gossiper.Member(name)
 }
 
-// service returns the service on this VM, or the empty string.
+// service returns the service of the upstream on this VM: the announced one, or else the one from the settings,
+// which can be the empty string.
 func (n *Node) service() string {
 	if announced := n.registrar.Current().Service; announced != "" {
 		return announced
@@ -299,7 +307,8 @@
 	return n.router.Members(service)
 }
 
-// IsRunning implements claimer.Members: the claimant names the entry node and its incarnation.
+// IsRunning implements claimer.Members. A claimant names the entry node and its incarnation in hexadecimal,
+// separated by a dot.
 func (n *Node) IsRunning(claimant string) bool {
 	name, rest, _ := strings.Cut(claimant, ".")
 	incarnation, _, _ := strings.Cut(rest, ".")
@@ -307,10 +316,11 @@
 	return ok && m.Status < gossiper.StatusDead && fmt.Sprintf("%x", m.Incarnation) == incarnation
 }
 
-// announced follows the upstream beside the node.
-func (n *Node) announced(a announcer.Announcement) {
+// upstreamAnnounced applies an announcement of the upstream beside the node to the connection pool, the executor and
+// gossip.
+func (n *Node) upstreamAnnounced(a announcer.Announcement) {
 	n.log.Info("The upstream changed.", "service", a.Service, "state", a.State, "slots", a.Slots, "address", a.Address)
-	n.upstream.announced(a)
+	n.upstream.reconnect(a)
 	n.executor.Announced(a)
 	n.gossiper.SetUpstream(a.Service, a.Slots, a.State)
 }
@@ -318,60 +328,62 @@
 // MemberChanged implements gossiper.Observer.
 func (n *Node) MemberChanged(m gossiper.Member) {
 	n.router.Update(m)
-	n.noteNewcomer(m)
-	n.journal.write(m.Status == gossiper.StatusAlive, "A member changed.", "member", m.Name, "status", m.Status,
+	n.queueCrashReplay(m)
+	n.events.write(m.Status == gossiper.StatusAlive, "A member changed.", "member", m.Name, "status", m.Status,
 		"incarnation", m.Incarnation, "sequence", m.Sequence, "service", m.Service, "upstream", m.Upstream)
 }
 
-// ViewDiffers implements gossiper.Observer.
+// ViewDiffers implements gossiper.Observer. It requests a sync with the member, unless a request is already pending.
 func (n *Node) ViewDiffers(from gossiper.Member) {
 	select {
-	case n.differing <- from.Control:
+	case n.differingPeers <- from.Control:
 	default:
 	}
 }
 
-// spending counts the bytes of control connections and books those that a budget holds back.
-type spending struct {
+// controlByteMeter counts the bytes of control connections and charges those for binding and membership to their
+// budgets.
+type controlByteMeter struct {
 	node *Node
 }
 
 // Count implements messenger.Meter.
-func (s spending) Count(purpose string, bytes int) {
-	s.node.meter.Count(purpose, bytes)
+func (m controlByteMeter) Count(purpose string, bytes int) {
+	m.node.meter.Count(purpose, bytes)
 	switch purpose {
 	case messenger.PurposeBinding.String():
-		s.node.bindingBytes.Book(bytes)
+		m.node.bindingBudget.Book(bytes)
 	case messenger.PurposeMembership.String():
-		s.node.membershipBytes.Book(bytes)
+		m.node.membershipBudget.Book(bytes)
 	}
 }
 
 // Send implements gossiper.Transport.
 func (n *Node) Send(to netip.AddrPort, datagram []byte) {
-	if n.socket == nil {
+	if n.udpConn == nil {
 		return
 	}
 	n.meter.Count("gossip", len(datagram)+datagramHeaderBytes)
-	n.gossipBytes.Book(len(datagram) + datagramHeaderBytes)
-	// A datagram that is not sent is like one that is lost.
-	_, _ = n.socket.WriteToUDPAddrPort(datagram, to)
+	n.gossipBudget.Book(len(datagram) + datagramHeaderBytes)
+	// A failed send is treated like a lost datagram.
+	_, _ = n.udpConn.WriteToUDPAddrPort(datagram, to)
 }
 
-// Drain refuses new work, tells the others, and waits until the requests in flight are done.
+// Drain stops new work, announces to the other nodes that this one leaves, and waits up to drainTimeout for the
+// requests in flight.
 func (n *Node) Drain() {
-	n.DrainFor(leaveTime, drainTimeout)
-	time.Sleep(leaveTime)
+	n.DrainFor(leaveDelay, drainTimeout)
+	time.Sleep(leaveDelay)
 }
 
-// Abort ends the node as a killed process would: every connection is cut and nobody is told.
+// Abort ends the node like a killed process: it cuts every connection and notifies no other node.
 func (n *Node) Abort() {
 	n.stop()
-	_ = n.socket.Close()
-	for _, listener := range n.listeners {
-		_ = listener.Close()
+	_ = n.udpConn.Close()
+	for _, socket := range n.sockets {
+		_ = socket.Close()
 	}
-	for _, l := range n.entries {
+	for _, l := range n.requestListeners {
 		l.Abort()
 	}
 	n.tracker.Cut()
@@ -380,7 +392,7 @@
 	n.register.close()
 }
 
-// Member returns what the node knows of a member.
+// Member returns the record of the member with the name, and whether it is known.
 func (n *Node) Member(name string) (gossiper.Member, bool) {
 	return n.gossiper.Member(name)
 }
@@ -390,7 +402,8 @@
 	return n.meter
 }
 
-// Close stops the node at once. Drain comes first in an orderly shutdown.
+// Close stops the node at once; requests in flight have at most shutdownTimeout to finish. For an orderly shutdown,
+// call Drain first.
 func (n *Node) Close() {
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
@@ -398,14 +411,14 @@
 	for _, server := range n.servers {
 		closing.Go(func() { _ = server.ShutdownWithContext(ctx) })
 	}
-	for _, l := range n.entries {
+	for _, l := range n.requestListeners {
 		closing.Go(func() { l.Close(ctx) })
 	}
 	closing.Wait()
 	n.stop()
-	_ = n.socket.Close()
+	_ = n.udpConn.Close()
 	n.messenger.Close()
 	n.carrier.Close()
 	n.register.close()
-	n.duties.Wait()
+	n.tasks.Wait()
 }
--- a/internal/relayer/options.go
+++ b/internal/relayer/options.go
@@ -11,7 +11,7 @@
 	"github.com/marigoldrelay/marigoldrelay/internal/validator"
 )
 
-// Interpreter reads and writes what callers and upstreams say in headers.
+// Interpreter reads and writes the headers that are exchanged with callers and upstreams.
 type Interpreter interface {
 	FormatRetryAfter(d time.Duration) string
 	ReadAnswer(header *fasthttp.ResponseHeader) interpreter.Answer
@@ -19,25 +19,25 @@
 	WriteHop(header *fasthttp.RequestHeader, hop interpreter.Hop)
 }
 
-// WithInterpreter replaces the project's own headers by those of a platform.
+// WithInterpreter replaces the project's own headers with those of a platform.
 func WithInterpreter(i Interpreter) Option {
 	return func(n *Node) { n.interpreter = i }
 }
 
-// WithParser replaces the parser of the document's text.
+// WithParser replaces the parser for the text of a document.
 func WithParser(parse func(text []byte) (*validator.Document, error)) Option {
-	return func(n *Node) { n.parse = parse }
+	return func(n *Node) { n.parseDocument = parse }
 }
 
-// WithPolicy replaces the policy by which targets are picked.
+// WithPolicy replaces the policy that picks targets. The default is router.Weighted.
 func WithPolicy(policy router.Policy) Option {
 	return func(n *Node) { n.policy = policy }
 }
 
-// Option changes a Node under construction.
+// Option configures a Node that New builds.
 type Option func(*Node)
 
-// WithForwarder passes options on to the connections to other nodes.
-func WithForwarder(options ...forwarder.Option) Option {
+// WithForwarderOptions passes options to the forwarder for connections to other nodes.
+func WithForwarderOptions(options ...forwarder.Option) Option {
 	return func(n *Node) { n.peerOptions = append(n.peerOptions, options...) }
 }
--- /dev/null
+++ b/internal/relayer/peerclient.go
@@ -0,0 +1,182 @@
+package relayer
+
+import (
+	"context"
+	"encoding/json"
+	"math"
+	"sync"
+	"time"
+
+	"github.com/marigoldrelay/marigoldrelay/internal/carrier"
+	"github.com/marigoldrelay/marigoldrelay/internal/claimer"
+	"github.com/marigoldrelay/marigoldrelay/internal/executor"
+	"github.com/marigoldrelay/marigoldrelay/internal/gossiper"
+	"github.com/marigoldrelay/marigoldrelay/internal/messenger"
+	"github.com/marigoldrelay/marigoldrelay/internal/quarantiner"
+)
+
+// RPC methods between nodes.
+const (
+	methodClaim    = "claim"
+	methodCrash    = "crash"
+	methodInnocent = "innocent"
+	methodPull     = "pull"
+	methodRelease  = "release"
+	methodReserve  = "reserve"
+	methodSettle   = "settle"
+	methodSync     = "sync"
+)
+
+const crashReportTimeout = 200 * time.Millisecond
+
+// peerClient sends typed messages to other nodes. It implements executor.Links and claimer.Links.
+type peerClient struct {
+	messenger *messenger.Messenger
+	self      string
+	siblings  func(service string) []gossiper.Member
+	// sendLoad sends datagrams, some of which may be lost.
+	sendLoad func(entries []string, load gossiper.Load)
+}
+
+// Pull implements executor.Links.
+func (c *peerClient) Pull(ctx context.Context, home gossiper.Member, request executor.PullRequest) (executor.PullReply, error) {
+	var reply executor.PullReply
+	err := c.messenger.Call(ctx, home.Control, messenger.PurposeBinding, methodPull, request, &reply)
+	return reply, err
+}
+
+// Reserve implements executor.Links.
+func (c *peerClient) Reserve(ctx context.Context, to gossiper.Member, request executor.ReserveRequest) error {
+	return c.messenger.Notify(ctx, to.Control, messenger.PurposeBinding, methodReserve, request)
+}
+
+// ReportCrash implements executor.Links.
+func (c *peerClient) ReportCrash(_ context.Context, crash quarantiner.Crash) {
+	c.callSiblings(crash.Service, methodCrash, crash)
+}
+
+// ReportInnocent implements executor.Links.
+func (c *peerClient) ReportInnocent(_ context.Context, acquittal quarantiner.Acquittal) {
+	c.callSiblings(acquittal.Service, methodInnocent, acquittal)
+}
+
+// TellLoad implements executor.Links.
+func (c *peerClient) TellLoad(entries []string, load carrier.Load) {
+	c.sendLoad(entries, gossiper.Load{
+		Queued: load.Queued, Running: load.Running, Slots: load.Slots, Slowdown: int(100 * load.Slowdown),
+		Best: int(math.Round(100 * load.Best)),
+	})
+}
+
+// LoadSeen implements gossiper.Observer.
+func (n *Node) LoadSeen(from gossiper.Member, load gossiper.Load) {
+	n.log.Debug("The load of a node changed.", "member", from.Name, "running", load.Running,
+		"queued", load.Queued, "slots", load.Slots, "slowdown-percent", load.Slowdown)
+	seen := loadFromGossip(load)
+	n.dispatcher.LoadSeen(from.Name, seen)
+	n.reportSiblingLoad(from.Name, seen)
+}
+
+func loadFromGossip(load gossiper.Load) carrier.Load {
+	return carrier.Load{
+		Queued: load.Queued, Running: load.Running, Slots: load.Slots, Slowdown: float64(load.Slowdown) / 100,
+		Best: float64(load.Best) / 100,
+	}
+}
+
+// callSiblings calls a method on the other nodes of a service concurrently and waits at most crashReportTimeout for
+// the answers.
+func (c *peerClient) callSiblings(service, method string, params any) {
+	ctx, cancel := context.WithTimeout(context.Background(), crashReportTimeout)
+	defer cancel()
+	var calls sync.WaitGroup
+	for _, sibling := range c.siblings(service) {
+		if sibling.Name == c.self {
+			continue
+		}
+		calls.Go(func() {
+			// A sibling that can't be reached now still gets the next report.
+			_ = c.messenger.Call(ctx, sibling.Control, messenger.PurposeMembership, method, params, nil)
+		})
+	}
+	calls.Wait()
+}
+
+// Claim implements claimer.Links.
+func (c *peerClient) Claim(ctx context.Context, to gossiper.Member, claim claimer.Claim) (claimer.Record, error) {
+	var record claimer.Record
+	err := c.messenger.Call(ctx, to.Control, messenger.PurposeBinding, methodClaim, claim, &record)
+	return record, err
+}
+
+// Release implements claimer.Links.
+func (c *peerClient) Release(ctx context.Context, to gossiper.Member, claim claimer.Claim) error {
+	return c.messenger.Call(ctx, to.Control, messenger.PurposeBinding, methodRelease, claim, nil)
+}
+
+// Settle implements claimer.Links.
+func (c *peerClient) Settle(ctx context.Context, to gossiper.Member, settlement claimer.Settlement) error {
+	return c.messenger.Call(ctx, to.Control, messenger.PurposeBinding, methodSettle, settlement, nil)
+}
+
+// syncRequest and syncReply are exchanged to compare the member lists of two nodes.
+type syncRequest struct {
+	Digest  gossiper.Digest `json:"digest"`
+	Members memberRecords   `json:"members,omitempty"`
+}
+
+type syncReply struct {
+	Digest  gossiper.Digest `json:"digest"`
+	Members memberRecords   `json:"members,omitempty"`
+}
+
+// addHandler registers a handler with typed parameters and result.
+func addHandler[P, R any](m *messenger.Messenger, method string, f func(ctx context.Context, params P) (R, error)) {
+	m.Handle(method, func(ctx context.Context, raw json.RawMessage) (any, error) {
+		var params P
+		if err := json.Unmarshal(raw, &params); err != nil {
+			return nil, err
+		}
+		return f(ctx, params)
+	})
+}
+
+// emptyMessage is the parameter or result of a method that has none.
+type emptyMessage struct{}
+
+func (n *Node) addMessageHandlers() {
+	m := n.messenger
+	n.register.addHandlers(m)
+	addHandler(m, methodPull, func(_ context.Context, p executor.PullRequest) (executor.PullReply, error) {
+		return n.executor.Pull(p), nil
+	})
+	addHandler(m, methodReserve, func(_ context.Context, p executor.ReserveRequest) (emptyMessage, error) {
+		n.executor.Reserve(p)
+		return emptyMessage{}, nil
+	})
+	addHandler(m, methodCrash, func(_ context.Context, p quarantiner.Crash) (emptyMessage, error) {
+		n.log.Warn("An upstream of another node has crashed.", "instance", p.Instance, "service", p.Service, "suspects", len(p.Fingerprints))
+		n.quarantiner.Report(p)
+		return emptyMessage{}, nil
+	})
+	addHandler(m, methodInnocent, func(_ context.Context, p quarantiner.Acquittal) (emptyMessage, error) {
+		n.log.Info("A suspect request ran without a crash.", "fingerprint", p.Fingerprint, "service", p.Service)
+		n.quarantiner.Clear(p.Fingerprint)
+		return emptyMessage{}, nil
+	})
+	addHandler(m, methodClaim, func(_ context.Context, p claimer.Claim) (claimer.Record, error) {
+		return n.claimTable.Claim(p), nil
+	})
+	addHandler(m, methodRelease, func(_ context.Context, p claimer.Claim) (emptyMessage, error) {
+		n.claimTable.Release(p)
+		return emptyMessage{}, nil
+	})
+	addHandler(m, methodSettle, func(_ context.Context, p claimer.Settlement) (emptyMessage, error) {
+		n.claimTable.Settle(p)
+		return emptyMessage{}, nil
+	})
+	addHandler(m, methodSync, func(_ context.Context, p syncRequest) (syncReply, error) {
+		n.gossiper.Merge(p.Members)
+		return syncReply{Digest: n.gossiper.Digest(), Members: n.gossiper.Differing(p.Digest)}, nil
+	})
+}
--- a/internal/relayer/poison_test.go
+++ b/internal/relayer/poison_test.go
@@ -13,8 +13,9 @@
 	"github.com/marigoldrelay/marigoldrelay/internal/timekeeper"
 )
 
-// askPoison sends a request, which crashes the upstream that runs it if poison is true, and returns the status.
-func askPoison(t *testing.T, pool *forwarder.Pool, path string, poison bool) int {
+// requestStatus sends a request and returns the status of its answer. If poison is true, the request crashes the
+// upstream that runs it.
+func requestStatus(t *testing.T, pool *forwarder.Pool, path string, poison bool) int {
 	t.Helper()
 	req, resp := &fasthttp.Request{}, &fasthttp.Response{}
 	req.SetRequestURI(path)
@@ -30,45 +31,46 @@
 	return resp.StatusCode()
 }
 
-// TestNodeThatStartsLaterKnowsBarredRequests guards against a request that crashes one more upstream with each node
-// that is started, because bars were told only to the nodes that were there.
-func TestNodeThatStartsLaterKnowsBarredRequests(t *testing.T) {
+// TestLateNodeBarsKnownPoison guards against a request that crashes one more upstream with each node that is
+// started, because bars were sent only to the nodes that were running at the time.
+func TestLateNodeBarsKnownPoison(t *testing.T) {
 	behaviour := responder.Behaviour{Service: 5 * time.Millisecond, Slots: 12, Steady: true}
-	r := newRig(t, 3, behaviour)
-	pool := forwarder.New(r.entry.Settings.CallerAddress, timekeeper.System{})
+	c := newTestCluster(t, 3, behaviour)
+	pool := forwarder.New(c.entry.Settings.CallerAddress, timekeeper.System{})
 	defer pool.Close()
 	for range 10 {
-		askPoison(t, pool, "/entries/poison", true)
+		requestStatus(t, pool, "/entries/poison", true)
 		time.Sleep(50 * time.Millisecond)
 	}
-	later := addStation(t, r.Deployment, demonstrator.Place{Behaviour: behaviour, DataCentre: "flacq", Name: "later", Service: "entries"})
+	later := addStation(t, c.Deployment, demonstrator.Place{Behaviour: behaviour, DataCentre: "flacq", Name: "later", Service: "entries"})
 	serves := func() bool {
-		m, ok := r.entry.Node.Member("later")
+		m, ok := c.entry.Node.Member("later")
 		return ok && m.IsServing()
 	}
 	for waited := 0; !serves() && waited < 500; waited++ {
 		time.Sleep(20 * time.Millisecond)
 	}
-	// Within the time for which the users' rule lets such a request pass.
+	// This is within the time for which the users' rule allows such a request to pass.
 	time.Sleep(time.Second)
 	for range 40 {
-		askPoison(t, pool, "/entries/poison", true)
+		requestStatus(t, pool, "/entries/poison", true)
 	}
 	if later.Upstream.HasCrashed() {
 		t.Error("the upstream of a node that was started later has crashed")
 	}
 }
 
-// TestPoisonRequest repeats a request that crashes each upstream that runs it, among innocent
-// requests that are in flight at the crashes and are repeated as well.
+// TestPoisonRequest repeats a request that crashes each upstream that runs it, among innocent requests that are in
+// flight during the crashes and are repeated as well. It guards against losing more than 2 upstreams to the
+// request, and against innocent requests that stay refused.
 func TestPoisonRequest(t *testing.T) {
 	const targets = 6
-	r := newRig(t, targets, responder.Behaviour{Service: 100 * time.Millisecond, Slots: 12, Steady: true})
-	pool := forwarder.New(r.entry.Settings.CallerAddress, timekeeper.System{})
+	c := newTestCluster(t, targets, responder.Behaviour{Service: 100 * time.Millisecond, Slots: 12, Steady: true})
+	pool := forwarder.New(c.entry.Settings.CallerAddress, timekeeper.System{})
 	defer pool.Close()
-	ask := func(path string, poison bool) int { return askPoison(t, pool, path, poison) }
+	send := func(path string, poison bool) int { return requestStatus(t, pool, path, poison) }
 	crashed := func() (count int) {
-		for _, station := range r.Stations()[1:] {
+		for _, station := range c.Stations()[1:] {
 			if station.Upstream.HasCrashed() {
 				count++
 			}
@@ -79,13 +81,13 @@
 	for i := range 20 {
 		go func() {
 			for range 20 {
-				innocent <- ask(fmt.Sprintf("/entries/%d", i), false)
+				innocent <- send(fmt.Sprintf("/entries/%d", i), false)
 			}
 		}()
 	}
 	for range 10 {
 		time.Sleep(50 * time.Millisecond)
-		ask("/entries/poison", true)
+		send("/entries/poison", true)
 	}
 	if n := crashed(); n > 2 {
 		t.Errorf("%d upstreams were lost to one request, want at most 2", n)
@@ -96,11 +98,11 @@
 	}
 	t.Logf("%d upstreams crashed; innocent requests: %v", crashed(), statuses)
 	for i := range 20 {
-		if status := ask(fmt.Sprintf("/entries/%d", i), false); status != fasthttp.StatusOK {
+		if status := send(fmt.Sprintf("/entries/%d", i), false); status != fasthttp.StatusOK {
 			t.Errorf("innocent request %d is still refused: status %d", i, status)
 		}
 	}
-	if status := ask("/entries/poison", true); status != fasthttp.StatusServiceUnavailable {
+	if status := send("/entries/poison", true); status != fasthttp.StatusServiceUnavailable {
 		t.Errorf("the poison request got status %d, want 503", status)
 	}
 }
--- a/internal/relayer/probed.go
+++ b/internal/relayer/probernode.go
@@ -6,24 +6,24 @@
 	"github.com/marigoldrelay/marigoldrelay/pkg/announcer"
 )
 
-// probed implements prober.Node.
-type probed struct {
+// proberNode implements prober.Node.
+type proberNode struct {
 	node *Node
 }
 
-// Found takes an upstream that says it is well.
-func (p probed) Found(a announcer.Announcement) {
+// Found registers an upstream that a probe has found healthy.
+func (p proberNode) Found(a announcer.Announcement) {
 	p.node.log.Info("An upstream was found.", "instance", a.Instance, "service", a.Service)
 	p.node.registrar.Found(a)
 }
 
-// Report takes the upstream's own view of its load.
-func (p probed) Report(load interpreter.Load) {
+// Report passes the load that the upstream itself reports to the executor.
+func (p proberNode) Report(load interpreter.Load) {
 	p.node.executor.Report(load)
 }
 
-// Subject returns what is known of the upstream.
-func (p probed) Subject() prober.Subject {
+// Subject returns what the prober needs to know about the upstream.
+func (p proberNode) Subject() prober.Subject {
 	n := p.node
 	_, address, _ := n.upstream.current()
 	if !address.IsValid() {
@@ -37,7 +37,7 @@
 		Service:  n.service(),
 	}
 	subject.LoadAge, subject.Running, subject.TellsLoad = n.executor.LoadAge()
-	if document := n.current(); document != nil {
+	if document := n.currentDocument(); document != nil {
 		service, _ := document.ServiceNamed(subject.Service)
 		subject.HealthPath = service.HealthPath
 	}
--- a/internal/relayer/records.go
+++ b/internal/relayer/records.go
@@ -8,24 +8,25 @@
 	"github.com/marigoldrelay/marigoldrelay/internal/replicator"
 )
 
-// packedRecords is the number of records from which they are compressed.
-const packedRecords = 20
+// minCompressedRecords is the number of records from which on they are compressed.
+const minCompressedRecords = 20
 
-// records are members as two nodes exchange them: an array, or a string of the compressed array where
-// they are many, since all nodes of a fleet fetch them from few seeds when it starts.
-type records []gossiper.Member
+// memberRecords are members in the form in which two nodes exchange them: a JSON array or, from minCompressedRecords
+// on, a string with the compressed array. When a fleet starts, all nodes fetch the records from a few seeds.
+type memberRecords []gossiper.Member
 
 // MarshalJSON implements json.Marshaler.
-func (r records) MarshalJSON() ([]byte, error) {
+func (r memberRecords) MarshalJSON() ([]byte, error) {
 	plain, err := json.Marshal([]gossiper.Member(r))
-	if err != nil || len(r) < packedRecords {
+	if err != nil || len(r) < minCompressedRecords {
 		return plain, err
 	}
 	return json.Marshal(replicator.Pack(string(plain)))
 }
 
-// UnmarshalJSON implements json.Unmarshaler. The error of compressed records wraps replicator.ErrPacked.
-func (r *records) UnmarshalJSON(data []byte) error {
+// UnmarshalJSON implements json.Unmarshaler. For records that can't be decompressed, the error wraps
+// replicator.ErrPacked.
+func (r *memberRecords) UnmarshalJSON(data []byte) error {
 	if bytes.HasPrefix(data, []byte(`"`)) {
 		var packed []byte
 		if err := json.Unmarshal(data, &packed); err != nil {
--- a/internal/relayer/records_test.go
+++ b/internal/relayer/records_test.go
@@ -12,11 +12,11 @@
 	"github.com/marigoldrelay/marigoldrelay/internal/replicator"
 )
 
-// TestRecordsOfAFleet exchanges the records of few members and of 300, as when a fleet starts.
-func TestRecordsOfAFleet(t *testing.T) {
+// TestMemberRecordsRoundTrip encodes and decodes no records, those of a few members, and 300 as when a fleet starts.
+func TestMemberRecordsRoundTrip(t *testing.T) {
 	const perRecord = 60
 	for _, count := range []int{0, 3, 300} {
-		var sent, got records
+		var sent, got memberRecords
 		for i := range count {
 			address := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 7000)
 			sent = append(sent, gossiper.Member{
@@ -32,13 +32,13 @@
 			t.Fatal(err)
 		}
 		if !slices.Equal(sent, got) {
-			t.Errorf("%d records do not come back as they were sent", count)
+			t.Errorf("%d records differ after decoding", count)
 		}
-		if count >= packedRecords && len(text) > perRecord*count {
+		if count >= minCompressedRecords && len(text) > perRecord*count {
 			t.Errorf("%d records take %d bytes, want at most %d each", count, len(text), perRecord)
 		}
 	}
-	var got records
+	var got memberRecords
 	if err := json.Unmarshal([]byte(`"bm8gcmVjb3Jkcw=="`), &got); !errors.Is(err, replicator.ErrPacked) {
 		t.Errorf("records that can't be unpacked give %v", err)
 	}
--- a/internal/relayer/register.go
+++ b/internal/relayer/register.go
@@ -20,7 +20,7 @@
 	"github.com/marigoldrelay/marigoldrelay/internal/validator"
 )
 
-// Methods of the register.
+// RPC methods of the register.
 const (
 	methodAccept   = "accept"
 	methodChange   = "change"
@@ -33,19 +33,20 @@
 const (
 	learnInterval = time.Second
 	learnTimeout  = 3 * time.Second
-	// learnTurns is how many intervals a replica that does not lead lets pass on average.
-	learnTurns = 4
+	// nonLeaderLearnDivisor is the fraction, as 1 in so many, of the intervals in which a replica that is not the
+	// leader runs a round, on average.
+	nonLeaderLearnDivisor = 4
 )
 
-// Codes of errors between nodes.
+// JSON-RPC error codes between nodes. codeGeneral is that of every error without a code of its own.
 const (
-	codeNoReplica = 1
+	codeGeneral   = 1
 	codeOtherDisk = 2
 )
 
-var errNoReplica = merry.Sentinel("the node is no control replica")
+var errNotReplica = merry.Sentinel("the node is not a control replica")
 
-// register is the node's part in the shared configuration.
+// register connects the node to the replicated register that holds the shared configuration.
 type register struct {
 	node *Node
 	// acceptor is nil on a node without a data folder.
@@ -53,15 +54,15 @@
 	proposer *replicator.Proposer
 
 	mu sync.Mutex
-	// passedOver tells until when a leader that has not answered is passed over.
-	passedOver map[string]time.Time
+	// skippedUntil holds the time until which a leader that did not answer is skipped, by name.
+	skippedUntil map[string]time.Time
 }
 
 func (n *Node) buildRegister() error {
 	r := &register{node: n}
-	// The wall clock can step back over a restart, so that the incarnation alone may not be new.
+	// The wall clock can step back over a restart, so the incarnation alone may not be unique.
 	r.proposer = replicator.NewProposer(n.clock, fmt.Sprintf("%s.%x.%s", n.settings.Name, n.incarnation, settingsreader.NewSecret()), r)
-	r.proposer.Tell(n.roundEnded)
+	r.proposer.Tell(n.roundFinished)
 	n.register = r
 	if n.settings.DataFolder == "" {
 		return nil
@@ -96,7 +97,7 @@
 	return reply, r.call(ctx, vm, methodQuery, request, &reply)
 }
 
-// diskID identifies the own disk; empty on a node without a data folder.
+// diskID returns the ID of the node's disk, or the empty string on a node without a data folder.
 func (r *register) diskID() string {
 	if r.acceptor == nil {
 		return ""
@@ -104,10 +105,10 @@
 	return r.acceptor.DiskID()
 }
 
-// close lets the data folder go.
+// close closes the data folder.
 func (r *register) close() {
 	if r.acceptor != nil {
-		// The records are synced; nothing is lost by a failed close.
+		// The records are already synced, so a failed close loses nothing.
 		_ = r.acceptor.Close()
 	}
 }
@@ -120,54 +121,54 @@
 	return r.node.messenger.Call(ctx, m.Control, messenger.PurposeConfiguration, method, params, result)
 }
 
-func (r *register) handle(m *messenger.Messenger) {
-	handle(m, methodPrepare, func(_ context.Context, p replicator.PrepareRequest) (replicator.PrepareReply, error) {
+func (r *register) addHandlers(m *messenger.Messenger) {
+	addHandler(m, methodPrepare, func(_ context.Context, p replicator.PrepareRequest) (replicator.PrepareReply, error) {
 		if r.acceptor == nil {
-			return replicator.PrepareReply{}, wireError(errNoReplica)
+			return replicator.PrepareReply{}, rpcError(errNotReplica)
 		}
 		r.node.meter.Event("register_prepares")
 		reply, err := r.acceptor.Prepare(p)
-		return reply, wireError(err)
+		return reply, rpcError(err)
 	})
-	handle(m, methodAccept, func(_ context.Context, p replicator.AcceptRequest) (replicator.AcceptReply, error) {
+	addHandler(m, methodAccept, func(_ context.Context, p replicator.AcceptRequest) (replicator.AcceptReply, error) {
 		if r.acceptor == nil || p.Value == nil {
-			return replicator.AcceptReply{}, wireError(errNoReplica)
+			return replicator.AcceptReply{}, rpcError(errNotReplica)
 		}
 		r.node.meter.Event("register_accepts")
 		reply, err := r.acceptor.Accept(p)
-		return reply, wireError(err)
+		return reply, rpcError(err)
 	})
-	handle(m, methodQuery, func(_ context.Context, p replicator.QueryRequest) (replicator.QueryReply, error) {
+	addHandler(m, methodQuery, func(_ context.Context, p replicator.QueryRequest) (replicator.QueryReply, error) {
 		if r.acceptor == nil {
-			return replicator.QueryReply{}, wireError(errNoReplica)
+			return replicator.QueryReply{}, rpcError(errNotReplica)
 		}
 		r.node.meter.Event("register_queries")
 		reply, err := r.acceptor.Query(p)
-		return reply, wireError(err)
+		return reply, rpcError(err)
 	})
-	handle(m, methodDocument, func(context.Context, empty) (pulled, error) {
+	addHandler(m, methodDocument, func(context.Context, emptyMessage) (packedDocument, error) {
 		local := r.Local()
 		if local == nil {
-			return pulled{}, nil
+			return packedDocument{}, nil
 		}
-		return pack(local), nil
+		return packDocument(local), nil
 	})
-	handle(m, methodChange, func(ctx context.Context, p replicator.Change) (changeReply, error) {
-		version, err := r.apply(ctx, &p)
-		reply, err := replyOf(version, err)
+	addHandler(m, methodChange, func(ctx context.Context, p replicator.Change) (changeReply, error) {
+		version, err := r.applyChange(ctx, &p)
+		reply, err := newChangeReply(version, err)
 		if local := r.Local(); err == nil && local != nil {
-			document := pack(local)
+			document := packDocument(local)
 			reply.Document = &document
 		}
 		return reply, err
 	})
-	handle(m, methodPush, func(_ context.Context, p pulled) (empty, error) {
-		return empty{}, r.node.take(&p)
+	addHandler(m, methodPush, func(_ context.Context, p packedDocument) (emptyMessage, error) {
+		return emptyMessage{}, r.node.activatePacked(&p)
 	})
 }
 
-// pulled is what a node gets from another of a document: no history, and the text compressed.
-type pulled struct {
+// packedDocument is a document as nodes exchange it: without its history and with the text compressed.
+type packedDocument struct {
 	Deployment string               `json:"deployment"`
 	Packed     []byte               `json:"packed"`
 	Replicas   []replicator.Replica `json:"replicas"`
@@ -175,12 +176,12 @@
 	Version    uint64               `json:"version"`
 }
 
-func pack(value *replicator.Value) pulled {
-	return pulled{value.Deployment, replicator.Pack(value.Text), value.Replicas, value.Revision, value.Version}
+func packDocument(value *replicator.Value) packedDocument {
+	return packedDocument{value.Deployment, replicator.Pack(value.Text), value.Replicas, value.Revision, value.Version}
 }
 
-// take puts a document from another node in force unless a newer one is.
-func (n *Node) take(p *pulled) error {
+// activatePacked puts a document from another node in force, unless the current one is as new or newer.
+func (n *Node) activatePacked(p *packedDocument) error {
 	if p.Revision <= n.revision() {
 		return nil
 	}
@@ -188,51 +189,52 @@
 	if err != nil {
 		return err
 	}
-	return n.enforce(&replicator.Value{
+	return n.activateValue(&replicator.Value{
 		Deployment: p.Deployment, Replicas: p.Replicas, Revision: p.Revision, Text: text, Version: p.Version,
 	})
 }
 
 const (
-	pushPause = 150 * time.Millisecond
-	pushTries = 4
+	pushRetryInterval = 150 * time.Millisecond
+	pushAttempts      = 4
 )
 
-// push sends a value that was chosen to every live member at once. A member that it does not reach
-// hears of the revision by gossip.
+// push sends a value that was chosen to all live members concurrently and does not wait for them. A member that
+// can't be reached learns of the revision by gossip.
 func (n *Node) push(value *replicator.Value) {
-	document := pack(value)
+	document := packDocument(value)
 	for _, m := range n.gossiper.Members() {
 		if m.Name == n.settings.Name || m.Status >= gossiper.StatusDead {
 			continue
 		}
 		go func() {
-			for range pushTries {
+			for range pushAttempts {
 				err := n.messenger.Call(context.Background(), m.Control, messenger.PurposeConfiguration, methodPush, document, nil)
 				if err == nil {
 					return
 				}
 				n.meter.Event("pushes_failed")
-				time.Sleep(pushPause)
+				time.Sleep(pushRetryInterval)
 			}
 		}()
 	}
 }
 
-func wireError(err error) error {
+// rpcError converts an error to one that is sent to the calling node with an error code.
+func rpcError(err error) error {
 	switch {
 	case err == nil:
 		return nil
 	case errors.Is(err, replicator.ErrOtherDisk):
 		return &jsonrpc2.Error{Code: codeOtherDisk, Message: err.Error()}
 	default:
-		return &jsonrpc2.Error{Code: codeNoReplica, Message: err.Error()}
+		return &jsonrpc2.Error{Code: codeGeneral, Message: err.Error()}
 	}
 }
 
-// prime lets a replica that has no document in force yet start from the replicas that it has heard
-// of as a voter.
-func (r *register) prime() {
+// assumeAcceptedReplicas lets a replica that has no document in force yet start from the replicas that are named in
+// the value it has accepted.
+func (r *register) assumeAcceptedReplicas() {
 	if r.acceptor == nil || r.Local() != nil {
 		return
 	}
@@ -243,7 +245,7 @@
 
 // Read implements administrator.Register.
 func (r *register) Read(ctx context.Context) (*replicator.Value, error) {
-	r.prime()
+	r.assumeAcceptedReplicas()
 	value, err := r.proposer.Read(ctx)
 	if err != nil {
 		return nil, err
@@ -256,12 +258,12 @@
 	if reply, ok := r.forward(ctx, change); ok {
 		return reply.outcome()
 	}
-	return r.apply(ctx, change)
+	return r.applyChange(ctx, change)
 }
 
-// apply makes the change by a round of this node.
-func (r *register) apply(ctx context.Context, change *replicator.Change) (uint64, error) {
-	r.prime()
+// applyChange makes the change in a round that this node runs.
+func (r *register) applyChange(ctx context.Context, change *replicator.Change) (uint64, error) {
+	r.assumeAcceptedReplicas()
 	value, version, err := r.proposer.Apply(ctx, change)
 	if value != nil {
 		err = errors.Join(err, r.publish(value))
@@ -269,13 +271,14 @@
 	return version, err
 }
 
-// publish puts a chosen value in force here and sends it to the others if it is news.
+// publish puts a chosen value in force on this node and pushes it to the others if it is newer than the previous
+// one.
 func (r *register) publish(value *replicator.Value) error {
-	isNews := value.Revision > r.node.revision()
-	if err := r.node.enforce(value); err != nil {
+	isNewer := value.Revision > r.node.revision()
+	if err := r.node.activateValue(value); err != nil {
 		return err
 	}
-	if isNews {
+	if isNewer {
 		r.node.push(value)
 	}
 	return nil
@@ -292,14 +295,15 @@
 
 // Local implements administrator.Register.
 func (r *register) Local() *replicator.Value {
-	if current := r.node.document.Load(); current != nil {
+	if current := r.node.active.Load(); current != nil {
 		return current.value
 	}
 	return nil
 }
 
-// enforce puts a value of the register in force unless a newer one is.
-func (n *Node) enforce(value *replicator.Value) error {
+// activateValue puts a value of the register in force, unless the current one is as new or newer. It returns an error
+// for a value of another deployment or with a document that is not valid.
+func (n *Node) activateValue(value *replicator.Value) error {
 	if local := n.register.Local(); local != nil && local.Deployment != value.Deployment {
 		n.meter.Event("foreign_documents")
 		return fmt.Errorf("document of another deployment: %s, not %s", value.Deployment, local.Deployment)
@@ -308,41 +312,42 @@
 	if err != nil {
 		return err
 	}
-	if n.apply(document, value) {
+	if n.activate(document, value) {
 		n.register.proposer.Follow(value.Replicas)
 	}
 	return nil
 }
 
-// documentOf returns the document of a value, or nil before the first one. The document in force is
-// not parsed again.
+// documentOf returns the document of a value, or nil before the first version. The document in force is not parsed
+// again.
 func (n *Node) documentOf(value *replicator.Value) (*validator.Document, error) {
 	if value.Version == 0 {
 		return nil, nil
 	}
-	current := n.document.Load()
+	current := n.active.Load()
 	if current != nil && current.value != nil && current.value.Version == value.Version && current.value.Text == value.Text {
 		return current.document, nil
 	}
-	document, err := n.parse([]byte(value.Text))
+	document, err := n.parseDocument([]byte(value.Text))
 	if !asserter.That(err == nil, "register-valid", "version %d: %v", value.Version, err) {
 		return nil, err
 	}
 	return document, nil
 }
 
-// VersionSeen implements gossiper.Observer.
+// VersionSeen implements gossiper.Observer. It requests the document of a member with a newer revision, unless a
+// request is already pending.
 func (n *Node) VersionSeen(from gossiper.Member, revision uint64) {
 	if revision <= n.revision() {
 		return
 	}
 	select {
-	case n.behind <- from:
+	case n.pullSources <- from:
 	default:
 	}
 }
 
-// revision returns the register's revision that is in force.
+// revision returns the revision of the register's value that is in force, or zero.
 func (n *Node) revision() uint64 {
 	if value := n.register.Local(); value != nil {
 		return value.Revision
@@ -350,47 +355,47 @@
 	return 0
 }
 
-// pullDocuments gets newer documents from members that have them.
+// pullDocuments fetches newer documents from the members that have them, until ctx is done.
 func (n *Node) pullDocuments(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case from := <-n.behind:
+		case from := <-n.pullSources:
 			if err := n.pullDocument(ctx, from); err != nil {
-				n.log.Warn("A document could not be pulled.", "from", from.Name, "error", err)
+				n.log.Warn("A document could not be fetched.", "from", from.Name, "error", err)
 			}
 		}
 	}
 }
 
 func (n *Node) pullDocument(ctx context.Context, from gossiper.Member) error {
-	var document pulled
-	if err := n.messenger.Call(ctx, from.Control, messenger.PurposeConfiguration, methodDocument, empty{}, &document); err != nil {
+	var document packedDocument
+	if err := n.messenger.Call(ctx, from.Control, messenger.PurposeConfiguration, methodDocument, emptyMessage{}, &document); err != nil {
 		return err
 	}
-	return n.take(&document)
+	return n.activatePacked(&document)
 }
 
-// learn finds out, on a control replica, whether a value that it has accepted is chosen: its
-// proposer may have died before it could tell.
-func (n *Node) learn(ctx context.Context) {
+// learnChosen checks on a control replica whether a value that it has accepted was chosen, until ctx is done: the
+// proposer may have died before it could push the value.
+func (n *Node) learnChosen(ctx context.Context) {
 	acceptor := n.register.acceptor
 	if acceptor == nil {
 		return
 	}
-	every(ctx, learnInterval, func() {
+	runEvery(ctx, learnInterval, func() {
 		accepted := acceptor.Accepted()
 		if accepted == nil || accepted.Revision <= n.revision() {
 			return
 		}
-		if leader, ok := n.register.leader(); ok && leader.Name != n.settings.Name && rand.N(learnTurns) != 0 {
-			// Rounds of several replicas at once would outbid each other.
+		if leader, ok := n.register.leader(); ok && leader.Name != n.settings.Name && rand.N(nonLeaderLearnDivisor) != 0 {
+			// Concurrent rounds of several replicas would preempt each other's ballots.
 			return
 		}
-		bounded, cancel := context.WithTimeout(ctx, learnTimeout)
+		roundCtx, cancel := context.WithTimeout(ctx, learnTimeout)
 		defer cancel()
-		// A round that fails is made again.
-		_, _ = n.register.Read(bounded)
+		// A failed round is retried at a later interval.
+		_, _ = n.register.Read(roundCtx)
 	})
 }
--- a/internal/relayer/repeatlimits.go
+++ b/internal/relayer/repeatlimits.go
@@ -7,40 +7,42 @@
 )
 
 const (
-	// ratioPart and slackPart are the parts of the document's bound on repeats that nodes use. The rest is for
-	// what they see later than callers and upstreams do, and for the shares of nodes that are cut off.
-	ratioPart = 0.85
-	slackPart = 0.75
-	// minSharers bounds the share of a node that knows hardly any other.
-	minSharers = 4
-	// defaultRepeatWindow and defaultShare hold where the document sets no bound for all nodes together.
+	// ratioFraction and slackFraction are the fractions of the document's bound on repeats that nodes use. The rest
+	// is for repeats that nodes see later than callers and upstreams do, and for the shares of nodes that are cut
+	// off.
+	ratioFraction = 0.85
+	slackFraction = 0.75
+	// minSlackNodes is the lowest number of nodes that the slack is divided by. It bounds the share of a node that
+	// knows hardly any others.
+	minSlackNodes = 4
+	// defaultRepeatWindow and defaultSlackShare apply if the document sets no bound for all nodes together.
 	defaultRepeatWindow = 10 * time.Second
-	defaultShare        = 10
+	defaultSlackShare   = 10
 )
 
-// repeatLimits returns what the upstream beside the node may get of repeats.
+// repeatLimits returns the limits on repeats for the upstream beside the node.
 func (n *Node) repeatLimits() budgeter.RepeatLimits {
-	document := n.current()
+	document := n.currentDocument()
 	if document == nil {
 		return budgeter.RepeatLimits{Window: defaultRepeatWindow}
 	}
 	service := n.service()
 	limits := budgeter.RepeatLimits{
-		Ratio: ratioPart * document.RetryRatioOf(service), Share: defaultShare, Window: document.Budgets.RetryWindow.Std(),
+		Ratio: ratioFraction * document.RetryRatioOf(service), Share: defaultSlackShare, Window: document.Budgets.RetryWindow.Std(),
 	}
 	if limits.Window == 0 {
 		limits.Window = defaultRepeatWindow
 	}
 	if slack := document.Budgets.RetrySlack; slack > 0 {
-		sharers := n.sharers.count(n.router.Count(service), limits.Window)
-		limits.Share = slackPart * slack / float64(max(sharers, minSharers))
+		nodes := n.peakNodes.observe(n.router.Count(service), limits.Window)
+		limits.Share = slackFraction * slack / float64(max(nodes, minSlackNodes))
 	}
 	return limits
 }
 
-// retryRatio returns the retries that a neighbour allows for each first try.
+// retryRatio returns how many retries a neighbour allows for each first try, or zero without a document.
 func (n *Node) retryRatio(neighbour string) float64 {
-	current := n.current()
+	current := n.currentDocument()
 	if current == nil {
 		return 0
 	}
--- a/internal/relayer/serve.go
+++ b/internal/relayer/serve.go
@@ -15,14 +15,14 @@
 	"github.com/marigoldrelay/marigoldrelay/pkg/announcer"
 )
 
-// serveCaller answers a request from outside or from an upstream.
+// serveCaller handles a request from outside or from an upstream.
 func (n *Node) serveCaller(ctx context.Context, req *fasthttp.Request, resp *fasthttp.Response) {
 	if refusal := n.dispatcher.Dispatch(ctx, req, resp); refusal != nil {
 		refusal.WriteWith(resp, n.interpreter.FormatRetryAfter)
 	}
 }
 
-// servePeer answers an attempt from another node or a question about one.
+// servePeer handles an attempt from another node or a query about the outcome of one.
 func (n *Node) servePeer(ctx context.Context, req *fasthttp.Request, resp *fasthttp.Response) {
 	if string(req.Header.RequestURI()) == carrier.ResolvePath {
 		carrier.ServeResolve(n.secrets.Key, n.clock, n.isOwnIncarnation, n.recorder, req, resp)
@@ -34,15 +34,17 @@
 		refuser.New(refuser.ReasonUnauthorized, err.Error()).Write(resp)
 		return
 	}
-	outcome := n.executeFor(ctx, attempt, req, resp)
+	outcome := n.executeAttempt(ctx, attempt, req, resp)
 	carrier.Seal(attempt, resp, outcome)
 }
 
+// isOwnIncarnation reports whether an incarnation is the one of the node's start or its current one in gossip.
 func (n *Node) isOwnIncarnation(incarnation uint64) bool {
 	return incarnation == n.incarnation || incarnation == n.gossiper.Self().Incarnation
 }
 
-func (n *Node) executeFor(ctx context.Context, attempt *carrier.Attempt, req *fasthttp.Request, resp *fasthttp.Response) carrier.Outcome {
+// executeAttempt runs an attempt on the executor, unless it was sent to an earlier incarnation of this node.
+func (n *Node) executeAttempt(ctx context.Context, attempt *carrier.Attempt, req *fasthttp.Request, resp *fasthttp.Response) carrier.Outcome {
 	if !n.isOwnIncarnation(attempt.Incarnation) {
 		return carrier.Outcome{Refusal: refuser.New(refuser.ReasonNoUpstream, "the attempt is for an earlier start of this node")}
 	}
@@ -54,7 +56,7 @@
 	})
 }
 
-// serveAnnouncement takes what the upstream beside the node says of itself.
+// serveAnnouncement handles an announcement of the upstream beside the node and answers with the lease.
 func (n *Node) serveAnnouncement(ctx *fasthttp.RequestCtx) {
 	if string(ctx.Path()) != announcer.Path || !ctx.IsPost() {
 		refuser.New(refuser.ReasonNoRoute, "want POST "+announcer.Path).Write(&ctx.Response)
@@ -75,11 +77,12 @@
 
 // serveError answers a request that the HTTP library's server could not read.
 func (n *Node) serveError(ctx *fasthttp.RequestCtx, err error) {
-	n.refuseUnread(&ctx.Response, err)
+	n.refuseUnreadable(&ctx.Response, err)
 }
 
-// refuseUnread answers a request that can't be read.
-func (n *Node) refuseUnread(resp *fasthttp.Response, err error) {
+// refuseUnreadable refuses a request that can't be read, with the reason that fits the error, and counts the
+// refusal.
+func (n *Node) refuseUnreadable(resp *fasthttp.Response, err error) {
 	reason := refuser.ReasonBadRequest
 	var small *fasthttp.ErrSmallBuffer
 	var network net.Error
--- a/internal/relayer/soak_test.go
+++ b/internal/relayer/soak_test.go
@@ -18,8 +18,8 @@
 )
 
 var (
-	soakTime = flag.Duration("soak", 6*time.Second, "how long the soak runs")
-	soakSeed = flag.Uint64("seed", 1, "seed of the soak's faults and calls")
+	soakDuration = flag.Duration("soak", 6*time.Second, "how long the soak runs")
+	soakSeed     = flag.Uint64("seed", 1, "seed of the soak's faults and calls")
 )
 
 const (
@@ -29,21 +29,21 @@
 
 // soak draws faults and calls from a seed and checks what every caller was told.
 type soak struct {
-	*rig
-	faults  map[string]int
-	mu      sync.Mutex
-	random  *rand.Rand
-	results map[string]int
-	// restarting keeps a station from being broken twice at once.
-	restarting []sync.Mutex
+	*testCluster
+	faults   map[string]int
+	mu       sync.Mutex
+	random   *rand.Rand
+	outcomes map[string]int
+	// faultLocks keep a station from getting two faults at once.
+	faultLocks []sync.Mutex
 }
 
-// TestSoak runs random calls under random faults, two at a time.
+// TestSoak makes random calls under random faults, two faults at a time.
 func TestSoak(t *testing.T) {
-	r := newRig(t, soakTargets, responder.Behaviour{Service: 10 * time.Millisecond, Slots: 8})
+	c := newTestCluster(t, soakTargets, responder.Behaviour{Service: 10 * time.Millisecond, Slots: 8})
 	s := &soak{
-		faults: make(map[string]int), random: rand.New(rand.NewPCG(*soakSeed, 1)), restarting: make([]sync.Mutex, soakTargets+1),
-		results: make(map[string]int), rig: r,
+		faults: make(map[string]int), random: rand.New(rand.NewPCG(*soakSeed, 1)), faultLocks: make([]sync.Mutex, soakTargets+1),
+		outcomes: make(map[string]int), testCluster: c,
 	}
 	var stop atomic.Bool
 	var work sync.WaitGroup
@@ -57,41 +57,41 @@
 	for range 2 {
 		work.Go(func() {
 			for !stop.Load() {
-				s.breakSomething()
+				s.injectFault()
 			}
 		})
 	}
-	time.Sleep(*soakTime)
+	time.Sleep(*soakDuration)
 	stop.Store(true)
 	work.Wait()
-	t.Logf("seed %d: faults %v, outcomes %v", *soakSeed, s.faults, s.results)
-	if s.results["answered"] == 0 {
+	t.Logf("seed %d: faults %v, outcomes %v", *soakSeed, s.faults, s.outcomes)
+	if s.outcomes["answered"] == 0 {
 		t.Error("no call was answered")
 	}
 }
 
-func (s *soak) draw(n int) int {
+func (s *soak) randomInt(n int) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.random.IntN(n)
 }
 
-// call makes one call of a random kind at the entry, which is never broken, and checks it.
+// call makes one call of a random kind at the entry node, which gets no faults, and checks the result.
 func (s *soak) call(id string) {
 	method, key := fasthttp.MethodGet, ""
-	switch s.draw(4) {
+	switch s.randomInt(4) {
 	case 0:
 		method = fasthttp.MethodPost
 	case 1:
 		method, key = fasthttp.MethodPost, "key-"+id
 	}
-	timeout := []time.Duration{30 * time.Millisecond, 500 * time.Millisecond, 3 * time.Second}[s.draw(3)]
-	got := send(s.t, s.entry.Settings.CallerAddress, method, id, key, timeout)
+	timeout := []time.Duration{30 * time.Millisecond, 500 * time.Millisecond, 3 * time.Second}[s.randomInt(3)]
+	got := sendCall(s.t, s.entry.Settings.CallerAddress, method, id, key, timeout)
 	if method == fasthttp.MethodPost {
 		s.check(id, got)
 	}
-	if key != "" && s.draw(2) == 0 {
-		again := send(s.t, s.entry.Settings.CallerAddress, method, id, key, timeout)
+	if key != "" && s.randomInt(2) == 0 {
+		again := sendCall(s.t, s.entry.Settings.CallerAddress, method, id, key, timeout)
 		s.check(id, again)
 	}
 	name := "answered"
@@ -99,33 +99,33 @@
 		name = fmt.Sprintf("%s/%s", got.problem.Reason, got.problem.NotRun)
 	}
 	s.mu.Lock()
-	s.results[name]++
+	s.outcomes[name]++
 	s.mu.Unlock()
 }
 
-func (s *soak) check(id string, got result) {
+func (s *soak) check(id string, got callResult) {
 	ran := s.Journal.Count(id)
 	if ran > 1 || (got.answered && ran != 1) || (got.problem.NotRun == refuser.NotRunTrue && ran != 0) {
 		s.t.Errorf("%s: ran %d times, %s", id, ran, got)
 	}
 }
 
-// breakSomething brings about one fault, waits, and repairs it.
-func (s *soak) breakSomething() {
-	i := 1 + s.draw(soakTargets)
-	s.restarting[i].Lock()
-	defer s.restarting[i].Unlock()
+// injectFault causes one random fault, waits, and repairs it.
+func (s *soak) injectFault() {
+	i := 1 + s.randomInt(soakTargets)
+	s.faultLocks[i].Lock()
+	defer s.faultLocks[i].Unlock()
 	station := s.Station(i)
-	pause := time.Duration(50+s.draw(400)) * time.Millisecond
+	pause := time.Duration(50+s.randomInt(400)) * time.Millisecond
 	kinds := map[string]func(){
-		"cut":       func() { s.wire.cutSome(station.Settings.PeerAddress) },
+		"cut":       func() { s.network.cutTo(station.Settings.PeerAddress) },
 		"crash":     func() { s.crash(station, pause) },
-		"fail fast": func() { s.behave(station, pause, func(b *responder.Behaviour) { b.FailFast = true }) },
+		"fail fast": func() { s.changeBehaviour(station, pause, func(b *responder.Behaviour) { b.FailFast = true }) },
 		"kill node": func() { s.killNode(station, pause) },
-		"silence":   func() { s.wire.silence(station.Settings.PeerAddress, 1+s.draw(4)) },
-		"straggle":  func() { s.behave(station, pause, func(b *responder.Behaviour) { b.StraggleFactor = 10 }) },
+		"silence":   func() { s.network.silence(station.Settings.PeerAddress, 1+s.randomInt(4)) },
+		"straggle":  func() { s.changeBehaviour(station, pause, func(b *responder.Behaviour) { b.StraggleFactor = 10 }) },
 	}
-	name := []string{"cut", "crash", "fail fast", "kill node", "silence", "straggle"}[s.draw(len(kinds))]
+	name := []string{"cut", "crash", "fail fast", "kill node", "silence", "straggle"}[s.randomInt(len(kinds))]
 	s.mu.Lock()
 	s.faults[name]++
 	s.mu.Unlock()
@@ -133,7 +133,7 @@
 	time.Sleep(pause)
 }
 
-func (s *soak) behave(station *demonstrator.Station, pause time.Duration, change func(*responder.Behaviour)) {
+func (s *soak) changeBehaviour(station *demonstrator.Station, pause time.Duration, change func(*responder.Behaviour)) {
 	usual := station.Upstream.Behaviour()
 	changed := usual
 	change(&changed)
@@ -158,14 +158,14 @@
 	}
 }
 
-// cutSome cuts the open links to the address.
-func (w *wire) cutSome(to netip.AddrPort) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for one := range w.links {
-		if one.to == to {
-			one.cut()
-			delete(w.links, one)
+// cutTo cuts the open connections to the address.
+func (p *proxyNetwork) cutTo(to netip.AddrPort) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for conn := range p.conns {
+		if conn.to == to {
+			conn.cut()
+			delete(p.conns, conn)
 		}
 	}
 }
--- /dev/null
+++ b/internal/relayer/tasks.go
@@ -0,0 +1,315 @@
+package relayer
+
+import (
+	"context"
+	"errors"
+	"net"
+	"net/netip"
+	"slices"
+	"time"
+
+	"github.com/ansel1/merry/v2"
+	"github.com/valyala/fasthttp"
+
+	"github.com/marigoldrelay/marigoldrelay/internal/executor"
+	"github.com/marigoldrelay/marigoldrelay/internal/gossiper"
+	"github.com/marigoldrelay/marigoldrelay/internal/hintreader"
+	"github.com/marigoldrelay/marigoldrelay/internal/listener"
+	"github.com/marigoldrelay/marigoldrelay/internal/logger"
+	"github.com/marigoldrelay/marigoldrelay/internal/messenger"
+)
+
+const (
+	// datagramHeaderBytes is added to the size of each datagram when its bytes are counted.
+	datagramHeaderBytes = 28
+	idleTimeout         = time.Minute
+	maxPeerBodyBytes    = 1 << 30
+	// peerHeaderBytes is added to the limit on a request's headers for those that nodes exchange.
+	peerHeaderBytes = 4096
+	readTimeout     = 30 * time.Second
+	// syncBudgetBytes must be left in the membership budget for a sync to start.
+	syncBudgetBytes = 1000
+	syncInterval    = 20 * time.Second
+	// syncCooldown is the longest pause after a sync before a member whose view differs can trigger another.
+	syncCooldown = 2 * time.Second
+	// syncRetryInterval is the pause after a sync that failed, or when no other member is known.
+	syncRetryInterval = 100 * time.Millisecond
+	// syncJoinInterval is the pause of a node that knows other members but not all of its seeds.
+	syncJoinInterval = 400 * time.Millisecond
+)
+
+// Start opens the listeners and starts the background tasks. If it returns an error, nothing stays open.
+func (n *Node) Start() error {
+	ctx, stop := context.WithCancel(context.Background())
+	n.stop = stop
+	n.started = n.clock.Now()
+	if err := n.listen(); err != nil {
+		stop()
+		return err
+	}
+	n.startTask(func() { n.prober.Run(ctx) })
+	n.startTask(func() { n.maintainRegister(ctx) })
+	n.startTask(func() { n.receiveGossip() })
+	n.startTask(func() { runEvery(ctx, gossiper.TickInterval, n.gossiper.Tick) })
+	n.startTask(func() { runEvery(ctx, executor.SweepInterval, n.executor.Sweep) })
+	n.startTask(func() { runEvery(ctx, hintreader.Interval, func() { n.hints.Read(ctx) }) })
+	n.startTask(func() { runEvery(ctx, arrivalLogInterval, n.newArrivalLogger()) })
+	n.startTask(func() { n.syncMembers(ctx) })
+	n.startTask(func() { n.pullDocuments(ctx) })
+	n.startTask(func() { n.replayCrashes(ctx) })
+	n.startTask(func() { n.learnChosen(ctx) })
+	n.log.Info("Started.", "callers", n.settings.CallerAddress, "admin", n.settings.AdminAddress)
+	return nil
+}
+
+func (n *Node) startTask(f func()) {
+	n.tasks.Go(f)
+}
+
+// runEvery calls f once per interval until ctx is done.
+func runEvery(ctx context.Context, interval time.Duration, f func()) {
+	ticker := time.NewTicker(interval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-ticker.C:
+			f()
+		}
+	}
+}
+
+// endpoint is an address that the node serves, either with the HTTP library's server, which calls handler, or with
+// requestListener.
+type endpoint struct {
+	address netip.AddrPort
+	// setting is the key of the address in the settings.
+	setting         string
+	handler         fasthttp.RequestHandler
+	requestListener *listener.Listener
+}
+
+func (n *Node) listen() error {
+	if n.settings.CallerAddress.IsValid() {
+		n.callerListener = n.newListener(n.serveCaller, n.callerLimits)
+	}
+	endpoints := []endpoint{
+		{address: n.settings.CallerAddress, setting: "caller-address", requestListener: n.callerListener},
+		{address: n.settings.PeerAddress, setting: "peer-address", requestListener: n.newListener(n.servePeer, n.peerLimits)},
+		{address: n.settings.AdminAddress, setting: "admin-address", handler: n.administrator.Serve},
+		{address: n.settings.AnnounceAddress, setting: "announce-address", handler: n.serveAnnouncement},
+	}
+	endpoints = slices.DeleteFunc(endpoints, func(e endpoint) bool { return !e.address.IsValid() })
+	var opened []net.Listener
+	closeOpened := func() {
+		for _, socket := range opened {
+			_ = socket.Close()
+		}
+		if n.udpConn != nil {
+			_ = n.udpConn.Close()
+		}
+	}
+	for _, e := range endpoints {
+		socket, err := net.Listen("tcp", e.address.String())
+		if err != nil {
+			closeOpened()
+			return merry.Prepend(err, e.setting)
+		}
+		opened = append(opened, socket)
+	}
+	control, err := net.Listen("tcp", n.settings.ControlAddress.String())
+	if err != nil {
+		closeOpened()
+		return merry.Prepend(err, "control-address")
+	}
+	opened = append(opened, control)
+	n.udpConn, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(n.settings.ControlAddress))
+	if err != nil {
+		closeOpened()
+		return merry.Prepend(err, "control-address")
+	}
+	n.sockets = opened
+	for i, e := range endpoints {
+		if e.requestListener != nil {
+			n.requestListeners = append(n.requestListeners, e.requestListener)
+			n.startTask(func() { e.requestListener.Serve(opened[i]) })
+			continue
+		}
+		server := n.newServer(e.handler)
+		n.servers = append(n.servers, server)
+		n.startTask(func() { _ = server.Serve(opened[i]) })
+	}
+	n.startTask(func() { n.messenger.Serve(control) })
+	return nil
+}
+
+func (n *Node) newListener(handle listener.Handler, limits func() listener.Limits) *listener.Listener {
+	return listener.New(listener.Config{Handle: handle, Limits: limits, Refuse: n.refuseUnreadable})
+}
+
+// callerLimits returns the limits on callers' requests. Limits that the document in force does not set come from the
+// settings or have a default.
+func (n *Node) callerLimits() listener.Limits {
+	limits := n.peerLimits()
+	limits.MaxBodyBytes, limits.MaxHeaderBytes = n.settings.MaxBodyBytes, n.settings.MaxHeaderBytes
+	document := n.currentDocument()
+	if document == nil {
+		return limits
+	}
+	set := document.Limits
+	limits.HeaderTimeout = positiveOr(set.HeaderTimeout.Std(), limits.HeaderTimeout)
+	limits.IdleTimeout = positiveOr(set.IdleTimeout.Std(), limits.IdleTimeout)
+	limits.MaxBodyBytes = positiveOr(set.MaxBodyBytes, limits.MaxBodyBytes)
+	limits.MaxHeaderBytes = positiveOr(set.MaxHeaderBytes, limits.MaxHeaderBytes)
+	return limits
+}
+
+// peerLimits returns the limits on requests from other nodes: a caller's request with the headers that nodes add.
+func (n *Node) peerLimits() listener.Limits {
+	return listener.Limits{
+		HeaderTimeout:  readTimeout,
+		IdleTimeout:    idleTimeout,
+		MaxBodyBytes:   maxPeerBodyBytes,
+		MaxHeaderBytes: n.settings.MaxHeaderBytes + peerHeaderBytes,
+	}
+}
+
+// positiveOr returns value if it is positive, and fallback otherwise.
+func positiveOr[T int | time.Duration](value, fallback T) T {
+	if value > 0 {
+		return value
+	}
+	return fallback
+}
+
+func (n *Node) newServer(handler fasthttp.RequestHandler) *fasthttp.Server {
+	return &fasthttp.Server{
+		CloseOnShutdown:               true,
+		ConnState:                     n.tracker.Follow,
+		DisableHeaderNamesNormalizing: false,
+		ErrorHandler:                  n.serveError,
+		Handler:                       handler,
+		IdleTimeout:                   idleTimeout,
+		Logger:                        logger.Silent{},
+		MaxRequestBodySize:            n.settings.MaxBodyBytes,
+		NoDefaultContentType:          true,
+		NoDefaultServerHeader:         true,
+		ReadBufferSize:                n.settings.MaxHeaderBytes,
+		ReadTimeout:                   readTimeout,
+	}
+}
+
+func (n *Node) receiveGossip() {
+	buffer := make([]byte, 2*gossiper.MaxPacketBytes)
+	for {
+		size, from, err := n.udpConn.ReadFromUDPAddrPort(buffer)
+		if errors.Is(err, net.ErrClosed) {
+			return
+		}
+		if err != nil {
+			continue
+		}
+		from = netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
+		n.gossiper.Receive(from, buffer[:size])
+	}
+}
+
+// syncMembers compares the member list with another member's until ctx is done: every syncInterval, soon after a
+// member's view turns out to differ, and more often while no other member is known or the node is joining.
+func (n *Node) syncMembers(ctx context.Context) {
+	wait := time.Duration(0)
+	for {
+		var to netip.AddrPort
+		select {
+		case <-ctx.Done():
+			return
+		case to = <-n.differingPeers:
+		case <-time.After(wait):
+			to, _ = n.syncPartner()
+		}
+		wait = syncInterval
+		if err := n.syncWith(ctx, to); err != nil {
+			wait = syncRetryInterval
+		} else if n.isJoining() {
+			wait = syncJoinInterval
+		}
+		select {
+		case <-ctx.Done():
+			return
+		case <-time.After(min(wait, syncCooldown)):
+		}
+	}
+}
+
+var (
+	errNoPeer     = merry.Sentinel("no other member to compare with")
+	errOverBudget = merry.Sentinel("over the byte budget of membership")
+)
+
+// syncWith merges the records in which the member's view differs and then sends the member those that it lacks.
+func (n *Node) syncWith(ctx context.Context, to netip.AddrPort) error {
+	if !to.IsValid() {
+		return errNoPeer
+	}
+	if !n.membershipBudget.Allows(syncBudgetBytes) {
+		n.meter.Event("comparisons_over_budget")
+		return errOverBudget
+	}
+	request := syncRequest{Digest: n.gossiper.Digest()}
+	var reply syncReply
+	if err := n.messenger.Call(ctx, to, messenger.PurposeMembership, methodSync, request, &reply); err != nil {
+		return err
+	}
+	n.gossiper.Merge(reply.Members)
+	missing := n.gossiper.Differing(reply.Digest)
+	if len(missing) == 0 {
+		return nil
+	}
+	request = syncRequest{Digest: n.gossiper.Digest(), Members: missing}
+	return n.messenger.Call(ctx, to, messenger.PurposeMembership, methodSync, request, &reply)
+}
+
+// joinWindow is how long after its start a node looks for all of its seeds.
+const joinWindow = 5 * time.Second
+
+// isJoining reports whether the node has started within joinWindow and does not know all of its seeds.
+func (n *Node) isJoining() bool {
+	return n.clock.Now().Sub(n.started) < joinWindow && len(n.unknownSeeds()) > 0
+}
+
+// unknownSeeds returns the addresses of the other seeds that are not known as live members.
+func (n *Node) unknownSeeds() []netip.AddrPort {
+	live := n.livePeers()
+	var unknown []netip.AddrPort
+	for _, seed := range n.settings.Seeds {
+		if seed != n.settings.ControlAddress && !slices.Contains(live, seed) {
+			unknown = append(unknown, seed)
+		}
+	}
+	return unknown
+}
+
+// livePeers returns the control addresses of the other members that are alive or suspect.
+func (n *Node) livePeers() []netip.AddrPort {
+	var live []netip.AddrPort
+	for _, m := range n.gossiper.Members() {
+		if m.Name != n.settings.Name && m.Status <= gossiper.StatusSuspect {
+			live = append(live, m.Control)
+		}
+	}
+	return live
+}
+
+// syncPartner returns a random live member, or a random unknown seed if the node is joining or knows no live member.
+// It returns false if there is neither.
+func (n *Node) syncPartner() (netip.AddrPort, bool) {
+	partners := n.livePeers()
+	if seeds := n.unknownSeeds(); len(seeds) > 0 && (len(partners) == 0 || n.isJoining()) {
+		partners = seeds
+	}
+	if len(partners) == 0 {
+		return netip.AddrPort{}, false
+	}
+	return partners[newRandom().IntN(len(partners))], true
+}
--- a/internal/relayer/upstream.go
+++ b/internal/relayer/upstream.go
@@ -19,12 +19,12 @@
 )
 
 const (
-	dialTimeout  = 200 * time.Millisecond
-	downChecks   = 2
-	downInterval = 10 * time.Millisecond
+	dialTimeout       = 200 * time.Millisecond
+	downCheckCount    = 2
+	downCheckInterval = 10 * time.Millisecond
 )
 
-// localUpstream is the connection to the upstream beside the node.
+// localUpstream manages the connections to the upstream beside the node. It is safe for concurrent use.
 type localUpstream struct {
 	clock       timekeeper.Clock
 	interpreter Interpreter
@@ -41,8 +41,9 @@
 	return &localUpstream{clock: clock, interpreter: i, onLoad: onLoad, options: options}
 }
 
-// announced follows the upstream to a new address or process.
-func (u *localUpstream) announced(a announcer.Announcement) {
+// reconnect replaces the connection pool if the upstream has announced a new address or instance. An invalid address
+// is ignored.
+func (u *localUpstream) reconnect(a announcer.Announcement) {
 	address, err := netip.ParseAddrPort(a.Address)
 	if err != nil {
 		return
@@ -60,14 +61,16 @@
 	u.pool = forwarder.New(address, u.clock, u.options...)
 }
 
+// current returns the connection pool, address and instance of the upstream. The pool is nil before the first
+// announcement.
 func (u *localUpstream) current() (*forwarder.Pool, netip.AddrPort, string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.pool, u.address, u.instance
 }
 
-// maxUnsafeIdle is how long a connection may have been idle to carry a request that runs at most once:
-// the upstream may be about to close it.
+// maxUnsafeIdle is how long a connection may have been idle to carry a request that must run at most once: the
+// upstream may be about to close one that was idle for longer.
 const maxUnsafeIdle = time.Second
 
 // Do implements executor.Upstream.
@@ -80,21 +83,23 @@
 	if !req.Header.IsGet() && !req.Header.IsHead() {
 		x.MaxIdle = maxUnsafeIdle
 	}
-	said, err := u.interpreter.ReadRequest(&req.Header)
-	if err == nil && said.ID != "" {
+	callerRequest, err := u.interpreter.ReadRequest(&req.Header)
+	if err == nil && callerRequest.ID != "" {
 		x.Accept = func(header *fasthttp.ResponseHeader) bool {
 			id := u.interpreter.ReadAnswer(header).ID
-			return id == "" || id == said.ID
+			return id == "" || id == callerRequest.ID
 		}
 	}
 	if err := pool.Do(ctx, x); err != nil {
 		return err
 	}
-	return u.check(resp)
+	return u.checkAnswer(resp)
 }
 
-// check reads what the upstream says with its answer, and removes what concerns its connection only.
-func (u *localUpstream) check(resp *fasthttp.Response) error {
+// checkAnswer reads what the upstream reports in the headers of its answer and removes the headers that concern only
+// its connection. The error tells that the request was not run (executor.ErrMisdirected, executor.ErrShed) or that
+// the answer lacks the upstream's proof of origin (forwarder.ErrForeign).
+func (u *localUpstream) checkAnswer(resp *fasthttp.Response) error {
 	answer := u.interpreter.ReadAnswer(&resp.Header)
 	if answer.HasLoad {
 		u.onLoad(answer.Load)
@@ -115,10 +120,10 @@
 	return nil
 }
 
-// IsDown implements executor.Upstream: the process is gone when another instance has announced
-// itself or nothing listens any more.
+// IsDown implements executor.Upstream. The process is down if another instance has announced itself or if nothing
+// listens at the address any more.
 func (u *localUpstream) IsDown(ctx context.Context, instance string) bool {
-	for range downChecks {
+	for range downCheckCount {
 		_, address, current := u.current()
 		if current != instance {
 			return true
@@ -134,7 +139,7 @@
 		select {
 		case <-ctx.Done():
 			return false
-		case <-time.After(downInterval):
+		case <-time.After(downCheckInterval):
 		}
 	}
 	return false
--- a/internal/relayer/virtual_test.go
+++ b/internal/relayer/virtual_test.go
@@ -29,14 +29,14 @@
 )
 
 const (
-	// virtualHop is the time between two nodes.
-	virtualHop   = time.Millisecond
-	virtualSlots = 12
-	// headerTestRequest holds the id of a request of a virtual deployment.
+	// virtualLatency is the one-way latency between two nodes.
+	virtualLatency = time.Millisecond
+	virtualSlots   = 12
+	// headerTestRequest carries the ID of a request in a virtual deployment.
 	headerTestRequest = "Test-Request"
 )
 
-// testInterpreter reads the ids of requests; that of a call starts with its parent's.
+// testInterpreter reads the IDs of requests. The ID of a nested call starts with its parent's ID.
 type testInterpreter struct {
 	interpreter.Native
 }
@@ -51,7 +51,7 @@
 	return request, err
 }
 
-// virtualDeployment is real nodes in virtual time, joined by calls of functions in place of a network.
+// virtualDeployment runs real nodes in virtual time, connected by function calls instead of a network.
 type virtualDeployment struct {
 	t        *testing.T
 	document *validator.Document
@@ -68,7 +68,7 @@
 	deployment *virtualDeployment
 	name       string
 	serves     string
-	starts     uint64
+	startCount uint64
 }
 
 func newVirtualDeployment(t *testing.T) *virtualDeployment {
@@ -85,7 +85,7 @@
 	return &virtualDeployment{t: t, budget: budget, document: document, members: make(map[string]*virtualNode)}
 }
 
-// add starts a node with an upstream of the service, or starts it again. Nobody knows of it yet.
+// add starts a node with an upstream of the service, or restarts it. No other node knows of it yet.
 func (d *virtualDeployment) add(name, service string) *virtualNode {
 	d.t.Helper()
 	settings := &settingsreader.Settings{
@@ -103,10 +103,10 @@
 	if err != nil {
 		d.t.Fatal(err)
 	}
-	v := &virtualNode{Node: node, deployment: d, name: name, serves: service, starts: 1}
+	v := &virtualNode{Node: node, deployment: d, name: name, serves: service, startCount: 1}
 	d.mu.Lock()
 	if old, ok := d.members[name]; ok {
-		v.starts = old.starts + 1
+		v.startCount = old.startCount + 1
 	} else {
 		d.names = append(d.names, name)
 	}
@@ -116,15 +116,15 @@
 	node.executor.Sender, node.executor.Links, node.executor.Upstream = v, v, v
 	node.executor.Siblings = v
 	node.Preset(d.document)
-	node.announced(announcer.Announcement{
+	node.upstreamAnnounced(announcer.Announcement{
 		Address: "127.0.0.1:1", Instance: v.instance(), Service: service, Slots: virtualSlots, State: announcer.StateReady,
 	})
 	node.router.Update(v.record())
 	return v
 }
 
-// introduce makes the nodes of one list known to those of the other.
-func (d *virtualDeployment) introduce(to, known []string) {
+// makeKnown tells the nodes in to about the nodes in known.
+func (d *virtualDeployment) makeKnown(to, known []string) {
 	for _, name := range to {
 		for _, other := range known {
 			d.member(name).router.Update(d.member(other).record())
@@ -139,12 +139,12 @@
 }
 
 func (v *virtualNode) instance() string {
-	return fmt.Sprintf("%s.%d", v.name, v.starts)
+	return fmt.Sprintf("%s.%d", v.name, v.startCount)
 }
 
 func (v *virtualNode) record() gossiper.Member {
 	return gossiper.Member{
-		Name: v.name, DataCentre: "here", Region: "here", Incarnation: v.starts, Service: v.serves,
+		Name: v.name, DataCentre: "here", Region: "here", Incarnation: v.startCount, Service: v.serves,
 		Slots: virtualSlots, Upstream: announcer.StateReady,
 	}
 }
@@ -154,27 +154,27 @@
 	v.carrier.Name(&a)
 	target := v.deployment.member(to.Name)
 	if target != v {
-		time.Sleep(virtualHop)
+		time.Sleep(virtualLatency)
 	}
-	if target.starts != to.Incarnation {
+	if target.startCount != to.Incarnation {
 		return carrier.Outcome{Refusal: refuser.New(refuser.ReasonNoUpstream, "the node has started again")}
 	}
 	outcome := target.executor.Execute(ctx, &executor.Execution{Attempt: a, Deadline: deadline, Request: req, Response: resp})
 	if target != v {
-		time.Sleep(virtualHop)
+		time.Sleep(virtualLatency)
 	}
 	return outcome
 }
 
 // Pull implements executor.Links.
 func (v *virtualNode) Pull(_ context.Context, home gossiper.Member, request executor.PullRequest) (executor.PullReply, error) {
-	time.Sleep(2 * virtualHop)
+	time.Sleep(2 * virtualLatency)
 	return v.deployment.member(home.Name).executor.Pull(request), nil
 }
 
 // Reserve implements executor.Links.
 func (v *virtualNode) Reserve(_ context.Context, to gossiper.Member, request executor.ReserveRequest) error {
-	time.Sleep(virtualHop)
+	time.Sleep(virtualLatency)
 	v.deployment.member(to.Name).executor.Reserve(request)
 	return nil
 }
@@ -188,7 +188,7 @@
 // TellLoad implements executor.Links.
 func (v *virtualNode) TellLoad(entries []string, load carrier.Load) {
 	for _, name := range entries {
-		time.AfterFunc(virtualHop, func() { v.deployment.member(name).dispatcher.LoadSeen(v.name, load) })
+		time.AfterFunc(virtualLatency, func() { v.deployment.member(name).dispatcher.LoadSeen(v.name, load) })
 	}
 }
 
@@ -233,9 +233,9 @@
 	return resp.StatusCode()
 }
 
-// work takes the time unless the deadline or the caller ends it before.
-func work(ctx context.Context, taken time.Duration, deadline time.Time) error {
-	timer := time.NewTimer(min(taken, time.Until(deadline)))
+// simulateWork waits for the run time unless the deadline or the caller ends the run earlier.
+func simulateWork(ctx context.Context, runTime time.Duration, deadline time.Time) error {
+	timer := time.NewTimer(min(runTime, time.Until(deadline)))
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -248,19 +248,20 @@
 	return nil
 }
 
-// lot draws from a random source that goroutines share.
-type lot struct {
+// lockedRand is a source of random values that is safe for concurrent use.
+type lockedRand struct {
 	mu     sync.Mutex
 	random *rand.Rand
 }
 
-func (l *lot) isBelow(part float64) bool {
+// chance returns true with the given probability.
+func (l *lockedRand) chance(probability float64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.random.Float64() < part
+	return l.random.Float64() < probability
 }
 
-func (l *lot) exponential(mean time.Duration) time.Duration {
+func (l *lockedRand) exponential(mean time.Duration) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return time.Duration(l.random.ExpFloat64() * float64(mean))
