--- a/internal/relayer/register.go
+++ b/internal/relayer/register.go
@@ -44,7 +44,7 @@
 	codeOtherDisk = 2
 )
 
-var errNotReplica = merry.Sentinel("the node is not a control replica")
+var errNotReplica = merry.Sentinel("the node is no control replica")
 
 // register connects the node to the replicated register that holds the shared configuration.
 type register struct {
