--- a/internal/replicator/acceptor.go
+++ b/internal/replicator/acceptor.go
@@ -13,26 +13,28 @@
 	"github.com/marigoldrelay/marigoldrelay/internal/persister"
 )
 
-// Names of the records in a replica's folder.
+// Names of the records in the folder of an Acceptor.
 const (
 	recordAccepted = "accepted"
 	recordIdentity = "identity"
 	recordPromise  = "promise"
 )
 
-// ErrOtherDisk is wrapped by the answer to a message for a replica whose disk was replaced.
+// ErrOtherDisk is wrapped by the error of a request whose disk id is not the one of this replica,
+// because the disk was replaced.
 var ErrOtherDisk = merry.Sentinel("the VM has another disk")
 
-// PrepareRequest asks a replica to promise a ballot.
+// PrepareRequest asks a replica to promise that it accepts nothing under a lower ballot.
 type PrepareRequest struct {
 	Ballot Ballot `json:"ballot"`
 	DiskID string `json:"disk-id"`
-	// Known is the ballot of the newest value that the proposer holds; the replica does not send the
-	// value of that ballot back.
+	// Known is the ballot of the newest value that the proposer holds. The replica leaves out its value
+	// if it was accepted under that ballot.
 	Known Ballot `json:"known"`
 }
 
-// PrepareReply tells what the replica has accepted, or the higher ballot that it has promised.
+// PrepareReply returns the value that the replica has accepted, or, if OK is false, the higher ballot that
+// it has promised.
 type PrepareReply struct {
 	Accepted Ballot `json:"accepted"`
 	OK       bool   `json:"ok"`
@@ -40,51 +42,56 @@
 	Value    *Value `json:"value,omitempty"`
 }
 
-// AcceptRequest asks a replica to accept a value.
+// AcceptRequest asks a replica to accept a value under a ballot.
 type AcceptRequest struct {
 	Ballot Ballot `json:"ballot"`
 	DiskID string `json:"disk-id"`
 	Value  *Value `json:"value"`
 }
 
-// AcceptReply tells whether the replica has accepted, or the higher ballot that it has promised.
+// AcceptReply reports whether the replica has accepted the value, and the highest ballot that it has
+// promised.
 type AcceptReply struct {
 	OK       bool   `json:"ok"`
 	Promised Ballot `json:"promised"`
 }
 
-// QueryRequest asks a replica for what it has accepted, without a promise.
+// QueryRequest asks a replica for the value that it has accepted, without a promise.
 type QueryRequest struct {
 	DiskID string `json:"disk-id"`
-	// Known is as in PrepareRequest.
+	// Known has the same meaning as in PrepareRequest.
 	Known Ballot `json:"known"`
 }
 
-// QueryReply tells what the replica has accepted.
+// QueryReply returns the value that the replica has accepted. Value is nil if Accepted is the ballot
+// that the request named as known.
 type QueryReply struct {
 	Accepted Ballot `json:"accepted"`
 	Value    *Value `json:"value,omitempty"`
 }
 
-type acceptance struct {
+// acceptedValue is a value with the ballot under which it was accepted.
+type acceptedValue struct {
 	Ballot Ballot `json:"ballot"`
 	Value  *Value `json:"value"`
 }
 
-// Acceptor is a replica's durable state. It is safe for concurrent use.
+// Acceptor is the durable state of one replica: its promise and the value that it has accepted, stored in a
+// folder. It is safe for concurrent use.
 type Acceptor struct {
 	diskID string
 
 	mu       sync.Mutex
-	accepted acceptance
-	// broken is the error of a write after which the files may be behind what was answered.
-	broken  error
-	folder  *persister.Folder
-	promise Ballot
+	accepted acceptedValue
+	// unavailableErr is returned by every request while it is set: the error of a failed write, after
+	// which the files may be behind the replies that were sent, or errClosed.
+	unavailableErr error
+	folder         *persister.Folder
+	promise        Ballot
 }
 
-// OpenAcceptor reads the replica's state, or begins one with a new disk id where the folder is
-// empty. State that is torn or incomplete is an error, never an empty replica.
+// OpenAcceptor reads the replica's state from the folder, or creates it with a new disk id if the folder
+// is empty. Torn or incomplete state is an error and never treated as an empty replica.
 func OpenAcceptor(folder *persister.Folder) (*Acceptor, error) {
 	empty, err := folder.IsEmpty()
 	if err != nil {
@@ -97,7 +104,8 @@
 	return a, a.load()
 }
 
-// create writes the identity last: a folder with an identity has all records.
+// create writes the initial records. The identity comes last, so that a folder with an identity has all
+// records.
 func (a *Acceptor) create() error {
 	a.diskID = rand.Text()
 	records := []struct {
@@ -109,7 +117,7 @@
 		{recordIdentity, a.diskID},
 	}
 	for _, record := range records {
-		if err := a.write(record.name, record.value); err != nil {
+		if err := a.writeRecord(record.name, record.value); err != nil {
 			return err
 		}
 	}
@@ -117,32 +125,32 @@
 }
 
 func (a *Acceptor) load() error {
-	err := a.read(recordIdentity, &a.diskID)
+	err := a.readRecord(recordIdentity, &a.diskID)
 	if errors.Is(err, persister.ErrMissing) {
-		// Creation was cut short: nothing was ever promised under this identity.
+		// Creation was interrupted: no identity exists yet under which anything could have been promised.
 		return a.create()
 	}
 	if err != nil {
 		return err
 	}
-	if err := a.read(recordPromise, &a.promise); err != nil {
+	if err := a.readRecord(recordPromise, &a.promise); err != nil {
 		return err
 	}
-	return a.read(recordAccepted, &a.accepted)
+	return a.readRecord(recordAccepted, &a.accepted)
 }
 
-func (a *Acceptor) read(name string, into any) error {
+func (a *Acceptor) readRecord(name string, target any) error {
 	data, err := a.folder.Read(name)
 	if err != nil {
 		return err
 	}
-	if err := json.Unmarshal(data, into); err != nil {
+	if err := json.Unmarshal(data, target); err != nil {
 		return fmt.Errorf("%w: %s: %w", persister.ErrCorrupt, name, err)
 	}
 	return nil
 }
 
-func (a *Acceptor) write(name string, value any) error {
+func (a *Acceptor) writeRecord(name string, value any) error {
 	data, err := json.Marshal(value)
 	if err != nil {
 		return err
@@ -150,22 +158,23 @@
 	return a.folder.Write(name, data)
 }
 
-// DiskID identifies the folder that the state is kept in.
+// DiskID returns the random id of the folder that the state is stored in.
 func (a *Acceptor) DiskID() string {
 	return a.diskID
 }
 
-// Prepare promises the ballot unless a higher one was promised.
+// Prepare promises the ballot unless a higher one was promised before. The error wraps ErrOtherDisk if the
+// request is for another disk; any other error means that a write has failed or that the replica is closed.
 func (a *Acceptor) Prepare(request PrepareRequest) (PrepareReply, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if err := a.check(request.DiskID); err != nil {
+	if err := a.ensureUsable(request.DiskID); err != nil {
 		return PrepareReply{}, err
 	}
 	if request.Ballot.Less(a.promise) {
 		return PrepareReply{Promised: a.promise}, nil
 	}
-	if err := a.store(recordPromise, request.Ballot); err != nil {
+	if err := a.persist(recordPromise, request.Ballot); err != nil {
 		return PrepareReply{}, err
 	}
 	a.promise = request.Ballot
@@ -176,11 +185,11 @@
 	return reply, nil
 }
 
-// Accept stores the value unless a higher ballot was promised.
+// Accept stores the value unless a higher ballot was promised. The errors are those of Prepare.
 func (a *Acceptor) Accept(request AcceptRequest) (AcceptReply, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if err := a.check(request.DiskID); err != nil {
+	if err := a.ensureUsable(request.DiskID); err != nil {
 		return AcceptReply{}, err
 	}
 	if request.Ballot.Less(a.promise) {
@@ -189,25 +198,26 @@
 	if old := a.accepted.Value; old != nil {
 		asserter.That(request.Value.Deployment == old.Deployment, "register-deployment", "%s after %s", request.Value.Deployment, old.Deployment)
 	}
-	next := acceptance{Ballot: request.Ballot, Value: request.Value}
+	next := acceptedValue{Ballot: request.Ballot, Value: request.Value}
 	if a.promise != request.Ballot {
-		if err := a.store(recordPromise, request.Ballot); err != nil {
+		if err := a.persist(recordPromise, request.Ballot); err != nil {
 			return AcceptReply{}, err
 		}
 		a.promise = request.Ballot
 	}
-	if err := a.store(recordAccepted, next); err != nil {
+	if err := a.persist(recordAccepted, next); err != nil {
 		return AcceptReply{}, err
 	}
 	a.accepted = next
 	return AcceptReply{OK: true, Promised: a.promise}, nil
 }
 
-// Query tells what the replica has accepted.
+// Query returns the value that the replica has accepted, without a promise. The errors are those of
+// Prepare.
 func (a *Acceptor) Query(request QueryRequest) (QueryReply, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if err := a.check(request.DiskID); err != nil {
+	if err := a.ensureUsable(request.DiskID); err != nil {
 		return QueryReply{}, err
 	}
 	reply := QueryReply{Accepted: a.accepted.Ballot}
@@ -217,9 +227,11 @@
 	return reply, nil
 }
 
-func (a *Acceptor) check(diskID string) error {
-	if a.broken != nil {
-		if err := a.repair(); err != nil {
+// ensureUsable returns an error if the acceptor can't answer requests or if diskID is not its own. After a
+// failed write it first tries to write the records again.
+func (a *Acceptor) ensureUsable(diskID string) error {
+	if a.unavailableErr != nil {
+		if err := a.rewriteRecords(); err != nil {
 			return err
 		}
 	}
@@ -229,48 +241,48 @@
 	return nil
 }
 
-// repair writes again what the replica has answered so far. The failed write was never answered, so
-// that it doesn't matter whether the disk holds it.
-func (a *Acceptor) repair() error {
-	if errors.Is(a.broken, errClosed) {
-		return a.broken
+// rewriteRecords writes the state that the replies so far are based on to disk again. No reply was sent for
+// the failed write, so it doesn't matter whether the disk holds it.
+func (a *Acceptor) rewriteRecords() error {
+	if errors.Is(a.unavailableErr, errClosed) {
+		return a.unavailableErr
 	}
-	if err := a.write(recordPromise, a.promise); err != nil {
-		return a.broken
+	if err := a.writeRecord(recordPromise, a.promise); err != nil {
+		return a.unavailableErr
 	}
-	if err := a.write(recordAccepted, a.accepted); err != nil {
-		return a.broken
+	if err := a.writeRecord(recordAccepted, a.accepted); err != nil {
+		return a.unavailableErr
 	}
-	a.broken = nil
+	a.unavailableErr = nil
 	return nil
 }
 
-// store writes a record. After a failed write the replica answers nothing until a repair, because it
-// can't know what the disk holds.
-func (a *Acceptor) store(name string, value any) error {
-	if err := a.write(name, value); err != nil {
-		a.broken = merry.Prepend(err, "the replica's disk has failed")
-		return a.broken
+// persist writes a record. After a failed write the replica rejects all requests until its records have been
+// rewritten, because it can't know what the disk holds.
+func (a *Acceptor) persist(name string, value any) error {
+	if err := a.writeRecord(name, value); err != nil {
+		a.unavailableErr = merry.Prepend(err, "the replica's disk has failed")
+		return a.unavailableErr
 	}
 	return nil
 }
 
-// errClosed is the answer of a closed replica.
+// errClosed is returned by every request to a closed replica.
 var errClosed = merry.Sentinel("the replica is closed")
 
-// Close ends the replica's answers and lets its folder go.
+// Close makes the replica reject all further requests and releases its folder. Further calls do nothing.
 func (a *Acceptor) Close() error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if errors.Is(a.broken, errClosed) {
+	if errors.Is(a.unavailableErr, errClosed) {
 		return nil
 	}
-	a.broken = errClosed
+	a.unavailableErr = errClosed
 	return a.folder.Close()
 }
 
-// Accepted returns the newest value that this replica has accepted, which need not be chosen, or
-// nil.
+// Accepted returns the newest value that this replica has accepted, or nil if there is none. The value
+// need not have been chosen by a majority.
 func (a *Acceptor) Accepted() *Value {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/replicator/packer.go
+++ b/internal/replicator/packer.go
@@ -10,29 +10,29 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// maxTextBytes bounds what Unpack returns.
+// maxTextBytes is the size of the longest text that Unpack returns.
 const maxTextBytes = 4 << 20
 
-// ErrPacked is wrapped by the error of a text that can't be unpacked.
+// ErrPacked is wrapped by the error of Unpack for data that is malformed or decompresses to too long a text.
 var ErrPacked = merry.Sentinel("text can't be unpacked")
 
-// Pack compresses a document's text (RFC 1952).
+// Pack compresses a document's text in the gzip format (RFC 1952). It is safe for concurrent use.
 func Pack(text string) []byte {
 	var packed bytes.Buffer
-	w, ok := writers.Get().(*gzip.Writer)
+	w, ok := gzipWriters.Get().(*gzip.Writer)
 	if !ok {
 		return nil
 	}
-	defer writers.Put(w)
+	defer gzipWriters.Put(w)
 	w.Reset(&packed)
-	// Writes to a buffer do not fail.
+	// Writing to a bytes.Buffer never returns an error.
 	_, _ = io.WriteString(w, text)
 	_ = w.Close()
 	return packed.Bytes()
 }
 
-// writers keeps compressors, whose tables are large.
-var writers = sync.Pool{New: func() any {
+// gzipWriters pools compressors, because each one has large tables.
+var gzipWriters = sync.Pool{New: func() any {
 	w, err := gzip.NewWriterLevel(io.Discard, gzip.BestSpeed)
 	if err != nil {
 		return gzip.NewWriter(io.Discard)
@@ -40,7 +40,7 @@
 	return w
 }}
 
-// Unpack returns the text that Pack compressed. The error wraps ErrPacked.
+// Unpack returns the text that Pack compressed, up to maxTextBytes. The error wraps ErrPacked.
 func Unpack(packed []byte) (string, error) {
 	r, err := gzip.NewReader(bytes.NewReader(packed))
 	if err != nil {
--- a/internal/replicator/phases.go
+++ b/internal/replicator/phases.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// quorumSets returns the sets of which a majority each must accept the value.
+// quorumSets returns the sets of replicas of which a majority each must accept the value.
 func quorumSets(v *Value) [][]Replica {
 	sets := [][]Replica{v.Replicas}
 	if len(v.Previous) > 0 {
@@ -15,43 +15,45 @@
 	return sets
 }
 
-// added returns the replicas that the successor brings in. They must all hold it before it counts,
-// so that the loss of another one loses nothing.
-func added(current, next *Value) []Replica {
-	var fresh []Replica
+// addedReplicas returns the replicas that are in next but not in current. All of them must accept the value
+// before it counts as chosen, so that the loss of another replica does not lose the value.
+func addedReplicas(current, next *Value) []Replica {
+	var added []Replica
 	for _, replica := range next.Replicas {
 		if !slices.Contains(current.Replicas, replica) {
-			fresh = append(fresh, replica)
+			added = append(added, replica)
 		}
 	}
-	return fresh
+	return added
 }
 
-// prepare asks the known replicas and then, when the newest value names others, those as well. It
-// returns the newest value, or nil, and the sets that are still needed to accept a successor.
+// prepare runs the prepare phase on the known replicas and, if the newest value names other replicas, on those
+// as well. It returns the newest value, or nil if there is none, and the sets of replicas that must accept a
+// successor.
 func (p *Proposer) prepare(ctx context.Context, ballot Ballot, known []Replica) (*Value, [][]Replica, error) {
 	sets := [][]Replica{known}
 	replies := make(map[Replica]PrepareReply)
-	for range maxConfigHop {
+	for range maxPreparePasses {
 		if err := p.prepareSets(ctx, ballot, sets, replies); err != nil {
 			return nil, nil, err
 		}
-		newest := newestOf(replies)
+		newest := newestValue(replies)
 		if newest == nil {
 			return nil, sets, nil
 		}
-		wanted := quorumSets(newest)
-		if containsSets(sets, wanted) {
-			return newest, wanted, nil
+		required := quorumSets(newest)
+		if containsSets(sets, required) {
+			return newest, required, nil
 		}
-		sets = append(wanted, known)
+		sets = append(required, known)
 	}
 	return nil, nil, fmt.Errorf("%w: the set of replicas keeps changing", ErrNoMajority)
 }
 
-func containsSets(sets, wanted [][]Replica) bool {
-	for _, one := range wanted {
-		same := func(other []Replica) bool { return sameReplicas(one, other) }
+// containsSets reports whether every required set is among the sets.
+func containsSets(sets, required [][]Replica) bool {
+	for _, set := range required {
+		same := func(other []Replica) bool { return sameReplicas(set, other) }
 		if !slices.ContainsFunc(sets, same) {
 			return false
 		}
@@ -59,7 +61,8 @@
 	return true
 }
 
-func newestOf(replies map[Replica]PrepareReply) *Value {
+// newestValue returns the value that was accepted under the highest ballot, or nil if there is none.
+func newestValue(replies map[Replica]PrepareReply) *Value {
 	var newest *PrepareReply
 	for _, reply := range replies {
 		if reply.Value != nil && (newest == nil || newest.Accepted.Less(reply.Accepted)) {
@@ -72,6 +75,8 @@
 	return newest.Value
 }
 
+// prepareSets sends the ballot to the replicas of the sets that are not yet in replies and adds their promises
+// to replies. It returns nil once a majority of each set has promised.
 func (p *Proposer) prepareSets(ctx context.Context, ballot Ballot, sets [][]Replica, replies map[Replica]PrepareReply) error {
 	var missing []Replica
 	for _, replica := range union(sets) {
@@ -79,16 +84,16 @@
 			missing = append(missing, replica)
 		}
 	}
-	held := p.held()
+	lastChosen := p.lastChosen()
 	votes := &tally[PrepareReply]{replies: replies}
-	over := func() bool {
-		return haveMajorities(sets, replies) || votes.isLost(sets, nil)
+	finished := func() bool {
+		return haveMajorities(sets, replies) || votes.cannotSucceed(sets, nil)
 	}
-	gather(ctx, p, missing, votes, over, func(ctx context.Context, replica Replica) (PrepareReply, error) {
-		request := PrepareRequest{Ballot: ballot, DiskID: replica.DiskID, Known: held.Ballot}
+	collectVotes(ctx, p, missing, votes, finished, func(ctx context.Context, replica Replica) (PrepareReply, error) {
+		request := PrepareRequest{Ballot: ballot, DiskID: replica.DiskID, Known: lastChosen.Ballot}
 		reply, err := p.transport.Prepare(ctx, replica.VM, request)
-		if err == nil && reply.OK && reply.Accepted == held.Ballot {
-			reply.Value = held.Value
+		if err == nil && reply.OK && reply.Accepted == lastChosen.Ballot {
+			reply.Value = lastChosen.Value
 		}
 		return reply, err
 	})
@@ -98,49 +103,51 @@
 	return votes.failure()
 }
 
-// accept has the value accepted by a majority of each set and by every replica in all.
+// accept runs the accept phase. It returns nil once a majority of each set and every replica in all has
+// accepted the value.
 func (p *Proposer) accept(ctx context.Context, ballot Ballot, value *Value, sets [][]Replica, all []Replica) error {
 	votes := &tally[AcceptReply]{replies: make(map[Replica]AcceptReply)}
-	enough := func() bool {
+	hasQuorum := func() bool {
 		return votes.hasAll(all) && haveMajorities(sets, votes.replies)
 	}
-	over := func() bool {
-		return enough() || votes.isLost(sets, all)
+	finished := func() bool {
+		return hasQuorum() || votes.cannotSucceed(sets, all)
 	}
-	gather(ctx, p, union(append(sets, all)), votes, over, func(ctx context.Context, replica Replica) (AcceptReply, error) {
+	collectVotes(ctx, p, union(append(sets, all)), votes, finished, func(ctx context.Context, replica Replica) (AcceptReply, error) {
 		return p.transport.Accept(ctx, replica.VM, AcceptRequest{Ballot: ballot, DiskID: replica.DiskID, Value: value})
 	})
-	if enough() {
+	if hasQuorum() {
 		return nil
 	}
 	return votes.failure()
 }
 
-// vote is a replica's answer in one phase of a round.
+// vote is the reply of a replica in the prepare or the accept phase.
 type vote interface {
-	// verdict returns the highest ballot that the replica has promised, and whether it votes for the one
-	// that it was asked about.
-	verdict() (promised Ballot, ok bool)
+	// decision returns the highest ballot that the replica has promised, and whether it votes for the ballot
+	// of the request.
+	decision() (promised Ballot, ok bool)
 }
 
-func (r PrepareReply) verdict() (promised Ballot, ok bool) { return r.Promised, r.OK }
-func (r AcceptReply) verdict() (promised Ballot, ok bool)  { return r.Promised, r.OK }
+func (r PrepareReply) decision() (promised Ballot, ok bool) { return r.Promised, r.OK }
+func (r AcceptReply) decision() (promised Ballot, ok bool)  { return r.Promised, r.OK }
 
-// gather asks the replicas for their votes until over returns true, or until outbidTime after the first
-// refusal.
-func gather[R vote](ctx context.Context, p *Proposer, replicas []Replica, votes *tally[R], over func() bool, send func(context.Context, Replica) (R, error)) {
-	ctx, giveUp := context.WithCancel(ctx)
-	defer giveUp()
-	ask(ctx, replicas, send, func(replica Replica, reply R, err error) bool {
-		promised, ok := reply.verdict()
-		p.outbid(promised)
-		if votes.take(replica, reply, ok, err) {
-			p.clock.AfterFunc(outbidTime, giveUp)
+// collectVotes sends a request to each replica and adds the replies to votes, until finished returns true or
+// until preemptionGrace after the first reply that names a higher ballot.
+func collectVotes[R vote](ctx context.Context, p *Proposer, replicas []Replica, votes *tally[R], finished func() bool, send func(context.Context, Replica) (R, error)) {
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	broadcast(ctx, replicas, send, func(replica Replica, reply R, err error) bool {
+		promised, ok := reply.decision()
+		p.observeBallot(promised)
+		if votes.add(replica, reply, ok, err) {
+			p.clock.AfterFunc(preemptionGrace, cancel)
 		}
-		return over()
+		return finished()
 	})
 }
 
+// union returns the replicas of all sets, each of them once.
 func union(sets [][]Replica) []Replica {
 	var all []Replica
 	for _, set := range sets {
@@ -153,6 +160,7 @@
 	return all
 }
 
+// haveMajorities reports whether a majority of each set is in replies.
 func haveMajorities[R any](sets [][]Replica, replies map[Replica]R) bool {
 	for _, set := range sets {
 		count := 0
@@ -168,27 +176,28 @@
 	return true
 }
 
-// ask sends to every replica at once and passes each reply to take until it returns true. The
-// others go on in the background, so that all replicas that can be reached get the message.
-func ask[R any](ctx context.Context, replicas []Replica, send func(context.Context, Replica) (R, error), take func(Replica, R, error) bool) {
-	type answer struct {
+// broadcast sends to all replicas concurrently and passes each reply to handle until handle returns true or
+// ctx ends. The other calls continue in the background, each for up to messageTimeout, so that all reachable
+// replicas get the message.
+func broadcast[R any](ctx context.Context, replicas []Replica, send func(context.Context, Replica) (R, error), handle func(Replica, R, error) bool) {
+	type response struct {
 		err     error
 		replica Replica
 		reply   R
 	}
-	answers := make(chan answer, len(replicas))
+	responses := make(chan response, len(replicas))
 	for _, replica := range replicas {
 		go func() {
-			ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), messageTime)
+			ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), messageTimeout)
 			defer cancel()
 			reply, err := send(ctx, replica)
-			answers <- answer{err, replica, reply}
+			responses <- response{err, replica, reply}
 		}()
 	}
 	for range replicas {
 		select {
-		case a := <-answers:
-			if take(a.replica, a.reply, a.err) {
+		case r := <-responses:
+			if handle(r.replica, r.reply, r.err) {
 				return
 			}
 		case <-ctx.Done():
--- a/internal/replicator/proposer.go
+++ b/internal/replicator/proposer.go
@@ -19,20 +19,23 @@
 var (
 	// ErrConflict is wrapped by the error of a change that was not made from the newest version.
 	ErrConflict = merry.Sentinel("the document has changed")
-	// ErrNoMajority is wrapped by the error of a round that too few replicas answered.
+	// ErrNoMajority is wrapped by the error of a round in which too few replicas replied.
 	ErrNoMajority = merry.Sentinel("no majority of the control replicas answers")
-	// ErrNotBootstrapped is returned where there is no first version yet.
+	// ErrNotBootstrapped is returned by a round if no value exists yet or no replicas are known.
 	ErrNotBootstrapped = merry.Sentinel("there is no document yet")
-	// ErrVersion is wrapped by the error of a change whose chosen version is not above the current one.
+	// ErrVersion is wrapped by the error of a change whose requested version is not above the current one.
 	ErrVersion = merry.Sentinel("the version is not above the current one")
-	// ErrBootstrapped is returned by Bootstrap where a replica already holds a value.
+	// ErrBootstrapped is returned by Bootstrap if a replica already holds a value.
 	ErrBootstrapped = merry.Sentinel("a control replica already holds a document")
-	errOutbid       = merry.Sentinel("another round has a higher ballot")
+	// errPreempted is returned by a ballot that lost to a higher one; the round retries with a new ballot.
+	errPreempted = merry.Sentinel("another round has a higher ballot")
 )
 
-// ConflictError tells which version a change collided with.
+// ConflictError is the error of a change whose base version is not the current one. It wraps ErrConflict.
 type ConflictError struct {
-	Base    uint64
+	// Base is the version that the change was made from.
+	Base uint64
+	// Current is the version in force.
 	Current uint64
 }
 
@@ -47,80 +50,90 @@
 }
 
 const (
-	backoff     = 10 * time.Millisecond
-	maxBackoff  = 200 * time.Millisecond
-	messageTime = 1500 * time.Millisecond
-	// outbidTime is how long a round that one replica has refused waits for the others: those that are
-	// frozen or cut off should not hold up the next ballot.
-	outbidTime   = 50 * time.Millisecond
-	roundTime    = 5 * time.Second
-	maxConfigHop = 8
+	// initialBackoff and maxBackoff are the limits of the pause before the next ballot of a preempted round,
+	// which doubles each time; the actual pause is random, from half to one and a half times that.
+	initialBackoff = 10 * time.Millisecond
+	maxBackoff     = 200 * time.Millisecond
+	messageTimeout = 1500 * time.Millisecond
+	// preemptionGrace is how long a phase waits for further replies after one replica has rejected the ballot,
+	// so that frozen or unreachable replicas do not delay the next ballot.
+	preemptionGrace = 50 * time.Millisecond
+	roundTimeout    = 5 * time.Second
+	// maxPreparePasses is the number of passes after which a prepare phase gives up, if each pass finds a newer
+	// value that names other replicas.
+	maxPreparePasses = 8
 )
 
-// Transport reaches replicas.
+// Transport sends requests to the replica on a VM and returns its reply. Its methods are called concurrently.
 type Transport interface {
 	Accept(ctx context.Context, vm string, request AcceptRequest) (AcceptReply, error)
 	Prepare(ctx context.Context, vm string, request PrepareRequest) (PrepareReply, error)
 	Query(ctx context.Context, vm string, request QueryRequest) (QueryReply, error)
 }
 
-// Proposer makes rounds on behalf of one node. It is safe for concurrent use.
+// Proposer reads and changes the register on behalf of one node. Its methods are safe for concurrent use,
+// except for Tell.
 type Proposer struct {
 	clock     timekeeper.Clock
 	name      string
 	transport Transport
 
-	// ended is told of each round; nil tells nobody.
-	ended func(Round)
-	// rounds lets one round go on at a time, since two would only outbid each other.
-	rounds chan struct{}
+	// roundObserver is called after each round; nil for none.
+	roundObserver func(Round)
+	// roundSlot is a semaphore that allows one round at a time, since two would only preempt each other.
+	roundSlot chan struct{}
 
 	mu sync.Mutex
-	// chosen is the newest value that this proposer had accepted, with its ballot.
-	chosen acceptance
-	number uint64
-	// replicas is the newest set that the proposer knows.
+	// chosen is the newest value that this proposer knows to be chosen, with its ballot.
+	chosen acceptedValue
+	// ballotNumber is the highest ballot number that the proposer has used or seen.
+	ballotNumber uint64
+	// replicas is the newest set of replicas that the proposer knows.
 	replicas []Replica
-	// settled is true where the value that names the set is known to be chosen.
-	settled bool
+	// replicasConfirmed is true if the value that names the set is known to be chosen.
+	replicasConfirmed bool
 }
 
-// NewProposer returns a proposer; name must be of this node and its incarnation only.
+// NewProposer returns a proposer that knows no replicas yet. The name must be unique to this node and its
+// incarnation, since it distinguishes the ballots of different proposers.
 func NewProposer(clock timekeeper.Clock, name string, transport Transport) *Proposer {
-	return &Proposer{clock: clock, name: name, rounds: make(chan struct{}, 1), transport: transport}
+	return &Proposer{clock: clock, name: name, roundSlot: make(chan struct{}, 1), transport: transport}
 }
 
-// Round is a finished round with the ballots that it took.
+// Round describes a finished round: a change or read of the register with one or more ballots.
 type Round struct {
+	// Ballots is the number of ballots that the round needed.
 	Ballots int
 	Err     error
-	// Revision is that of the value that was chosen, or zero.
+	// Revision is the revision of the value that was chosen, or zero if there is none.
 	Revision uint64
-	Took     time.Duration
+	// Took is the duration of all ballots, without the wait for an earlier round of the same proposer.
+	Took time.Duration
 }
 
-// Tell sets who is told of each round. It is called before the first one.
-func (p *Proposer) Tell(ended func(Round)) {
-	p.ended = ended
+// Tell sets the function that is called after each round. It must be called before the first round.
+func (p *Proposer) Tell(observer func(Round)) {
+	p.roundObserver = observer
 }
 
-// Follow tells the proposer of the replicas of a value that is in force.
+// Follow sets the replicas to those of a value that is in force.
 func (p *Proposer) Follow(replicas []Replica) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.replicas = slices.Clone(replicas)
-	p.settled = true
+	p.replicasConfirmed = true
 }
 
-// Suppose tells the proposer of replicas to begin with, of a value that may not be chosen.
+// Suppose sets the replicas to start from, taken from a value that is not known to be chosen. Reads then run
+// a round.
 func (p *Proposer) Suppose(replicas []Replica) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.replicas = slices.Clone(replicas)
-	p.settled = false
+	p.replicasConfirmed = false
 }
 
-func (p *Proposer) known() []Replica {
+func (p *Proposer) knownReplicas() []Replica {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.replicas
@@ -129,31 +142,34 @@
 func (p *Proposer) nextBallot() Ballot {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.number++
-	return Ballot{Number: p.number, Proposer: p.name}
+	p.ballotNumber++
+	return Ballot{Number: p.ballotNumber, Proposer: p.name}
 }
 
-func (p *Proposer) outbid(by Ballot) {
+// observeBallot makes sure that the next ballot is above one that a replica has reported.
+func (p *Proposer) observeBallot(seen Ballot) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.number = max(p.number, by.Number)
+	p.ballotNumber = max(p.ballotNumber, seen.Number)
 }
 
-// Read returns the newest value that is chosen.
+// Read returns the newest value that is chosen. It asks the replicas for a majority that agrees, and runs a
+// round if there is none.
 func (p *Proposer) Read(ctx context.Context) (*Value, error) {
-	if value := p.query(ctx); value != nil {
+	if value := p.queryMajority(ctx); value != nil {
 		return value, nil
 	}
-	return p.round(ctx, keep)
+	return p.runRound(ctx, noChange)
 }
 
-// Apply makes the change. A change whose id was applied before returns the value in force and the
-// version that it made then. A change made from another version than the newest returns a
-// *ConflictError.
+// Apply applies the change and returns the value in force and the version that the change created. A change
+// whose id was applied before is not applied again; its version is that of the first time. A change made
+// from another version than the newest returns a *ConflictError; one whose requested version is not above the
+// newest returns an error that wraps ErrVersion.
 func (p *Proposer) Apply(ctx context.Context, change *Change) (value *Value, version uint64, err error) {
-	value, err = p.round(ctx, func(current *Value) (*Value, error) {
-		if done, ok := current.resultOf(change.ID); ok {
-			version = done
+	value, err = p.runRound(ctx, func(current *Value) (*Value, error) {
+		if applied, ok := current.appliedVersion(change.ID); ok {
+			version = applied
 			return current, nil
 		}
 		if change.Base != current.Version {
@@ -162,78 +178,79 @@
 		if change.Version > 0 && change.Version <= current.Version {
 			return current, fmt.Errorf("%w: %d after %d", ErrVersion, change.Version, current.Version)
 		}
-		successor := current.next(change)
+		successor := current.withChange(change)
 		version = successor.Version
 		return successor, nil
 	})
 	if err == nil {
-		value = p.settle(ctx, value)
+		value = p.finishReconfiguration(ctx, value)
 	}
 	return value, version, err
 }
 
-// Reconfigure moves the value that has the given revision to other replicas. A value that was changed
-// meanwhile is returned as it is.
+// Reconfigure moves the value that has the given revision to the given replicas. If the value has changed
+// meanwhile, it returns the newest value unchanged.
 func (p *Proposer) Reconfigure(ctx context.Context, revision uint64, replicas []Replica) (*Value, error) {
-	value, err := p.round(ctx, func(current *Value) (*Value, error) {
+	value, err := p.runRound(ctx, func(current *Value) (*Value, error) {
 		if current.Revision != revision || sameReplicas(current.Replicas, replicas) {
 			return current, nil
 		}
-		return current.reconfigured(replicas), nil
+		return current.withReplicas(replicas), nil
 	})
 	if err != nil {
 		return nil, err
 	}
-	return p.settle(ctx, value), nil
+	return p.finishReconfiguration(ctx, value), nil
 }
 
-// settle ends a change of the set of replicas. A settling round that fails is made up for by the next
-// round.
-func (p *Proposer) settle(ctx context.Context, value *Value) *Value {
+// finishReconfiguration runs a second round that removes the previous set of replicas from the value. A
+// failure is not reported, since the next round does the same.
+func (p *Proposer) finishReconfiguration(ctx context.Context, value *Value) *Value {
 	if len(value.Previous) == 0 {
 		return value
 	}
-	settled, err := p.round(ctx, keep)
+	finished, err := p.runRound(ctx, noChange)
 	if err != nil {
 		return value
 	}
-	return settled
+	return finished
 }
 
-// keep is the step of a round that changes nothing.
-func keep(current *Value) (*Value, error) {
+// noChange is the update function of a round that changes neither the document nor the replicas.
+func noChange(current *Value) (*Value, error) {
 	return current, nil
 }
 
-// round repeats ballots until one is not outbid, as long as roundTime allows.
-func (p *Proposer) round(ctx context.Context, step func(*Value) (*Value, error)) (*Value, error) {
-	ctx, cancel := context.WithTimeout(ctx, roundTime)
+// runRound runs ballots until one is not preempted, for up to roundTimeout including the wait for another
+// round, and reports the round to the observer. update returns the successor of the current value.
+func (p *Proposer) runRound(ctx context.Context, update func(*Value) (*Value, error)) (*Value, error) {
+	ctx, cancel := context.WithTimeout(ctx, roundTimeout)
 	defer cancel()
 	select {
-	case p.rounds <- struct{}{}:
-		defer func() { <-p.rounds }()
+	case p.roundSlot <- struct{}{}:
+		defer func() { <-p.roundSlot }()
 	case <-ctx.Done():
 		return nil, fmt.Errorf("%w: another round takes long: %w", ErrNoMajority, ctx.Err())
 	}
 	started, ballots := p.clock.Now(), 0
-	value, err := p.ballots(ctx, step, &ballots)
-	if p.ended != nil {
-		ended := Round{Ballots: ballots, Err: err, Took: p.clock.Now().Sub(started)}
+	value, err := p.retryBallots(ctx, update, &ballots)
+	if p.roundObserver != nil {
+		finished := Round{Ballots: ballots, Err: err, Took: p.clock.Now().Sub(started)}
 		if value != nil {
-			ended.Revision = value.Revision
+			finished.Revision = value.Revision
 		}
-		p.ended(ended)
+		p.roundObserver(finished)
 	}
 	return value, err
 }
 
-// ballots makes ballots, and counts them, until one is not outbid.
-func (p *Proposer) ballots(ctx context.Context, step func(*Value) (*Value, error), count *int) (*Value, error) {
-	pause := backoff
+// retryBallots runs ballots with backoff until one is not preempted, and counts them in count.
+func (p *Proposer) retryBallots(ctx context.Context, update func(*Value) (*Value, error), count *int) (*Value, error) {
+	pause := initialBackoff
 	for {
 		*count++
-		value, err := p.ballot(ctx, step)
-		if !errors.Is(err, errOutbid) {
+		value, err := p.runBallot(ctx, update)
+		if !errors.Is(err, errPreempted) {
 			return value, err
 		}
 		timekeeper.Sleep(ctx, p.clock, pause/2+mathrand.N(pause))
@@ -244,46 +261,47 @@
 	}
 }
 
-// ballot makes one round: prepare, step, accept. An error of step is returned once the value that
-// it was made from is known to be chosen.
-func (p *Proposer) ballot(ctx context.Context, step func(*Value) (*Value, error)) (*Value, error) {
-	known := p.known()
-	if len(known) == 0 {
+// runBallot runs one ballot: prepare, update, accept. An error of update is returned only after the value that
+// it was based on is known to be chosen.
+func (p *Proposer) runBallot(ctx context.Context, update func(*Value) (*Value, error)) (*Value, error) {
+	replicas := p.knownReplicas()
+	if len(replicas) == 0 {
 		return nil, ErrNotBootstrapped
 	}
 	ballot := p.nextBallot()
-	current, sets, err := p.prepare(ctx, ballot, known)
+	current, sets, err := p.prepare(ctx, ballot, replicas)
 	if err != nil {
 		return nil, err
 	}
 	if current == nil {
 		return nil, ErrNotBootstrapped
 	}
-	next, refusal := step(current)
+	next, updateErr := update(current)
 	if next == current {
-		next = current.settled()
+		next = current.withoutPrevious()
 	}
 	asserter.That(next.Version >= current.Version, "register-version", "%d after %d", next.Version, current.Version)
 	required := append(quorumSets(next), sets...)
-	if err := p.accept(ctx, ballot, next, required, added(current, next)); err != nil {
+	if err := p.accept(ctx, ballot, next, required, addedReplicas(current, next)); err != nil {
 		return nil, err
 	}
-	p.hold(ballot, next)
-	return next, refusal
+	p.setChosen(ballot, next)
+	return next, updateErr
 }
 
-// hold remembers a value that was chosen.
-func (p *Proposer) hold(ballot Ballot, value *Value) {
+// setChosen stores a value that was chosen, unless a newer one is stored, and makes its replicas the known ones.
+func (p *Proposer) setChosen(ballot Ballot, value *Value) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.chosen.Ballot.Less(ballot) {
-		p.chosen = acceptance{Ballot: ballot, Value: value}
+		p.chosen = acceptedValue{Ballot: ballot, Value: value}
 	}
 	p.replicas = slices.Clone(value.Replicas)
-	p.settled = true
+	p.replicasConfirmed = true
 }
 
-func (p *Proposer) held() acceptance {
+// lastChosen returns the newest value that the proposer knows to be chosen, with its ballot.
+func (p *Proposer) lastChosen() acceptedValue {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.chosen
--- a/internal/replicator/query.go
+++ b/internal/replicator/query.go
@@ -5,44 +5,45 @@
 	"time"
 )
 
-// queryTime bounds the wait for a majority that agrees without a round.
-const queryTime = 250 * time.Millisecond
+// queryTimeout is how long a read without a round waits for replies from an agreeing majority.
+const queryTimeout = 250 * time.Millisecond
 
-// query returns the value that a majority of the replicas has accepted under one ballot: it is chosen,
-// and no newer one was when the query began. It returns nil where a round has to find out.
-func (p *Proposer) query(ctx context.Context) *Value {
+// queryMajority returns the value that a majority of the replicas has accepted under the same ballot. That
+// value is chosen, and no newer one was chosen when the query began. It returns nil if no such majority
+// replied in time or the set of replicas is in doubt; a round must then read the newest value.
+func (p *Proposer) queryMajority(ctx context.Context) *Value {
 	p.mu.Lock()
-	known, settled := p.replicas, p.settled
-	held := p.chosen
+	replicas, confirmed := p.replicas, p.replicasConfirmed
+	lastChosen := p.chosen
 	p.mu.Unlock()
-	if !settled || len(known) == 0 {
+	if !confirmed || len(replicas) == 0 {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, queryTime)
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	votes := make(map[Ballot]int)
 
 	var agreed *Value
 	var ballot Ballot
-	ask(ctx, known, func(ctx context.Context, replica Replica) (QueryReply, error) {
-		return p.transport.Query(ctx, replica.VM, QueryRequest{DiskID: replica.DiskID, Known: held.Ballot})
+	broadcast(ctx, replicas, func(ctx context.Context, replica Replica) (QueryReply, error) {
+		return p.transport.Query(ctx, replica.VM, QueryRequest{DiskID: replica.DiskID, Known: lastChosen.Ballot})
 	}, func(_ Replica, reply QueryReply, err error) bool {
 		if err != nil {
 			return false
 		}
-		if reply.Accepted == held.Ballot {
-			reply.Value = held.Value
+		if reply.Accepted == lastChosen.Ballot {
+			reply.Value = lastChosen.Value
 		}
 		votes[reply.Accepted]++
 
-		if votes[reply.Accepted] > len(known)/2 {
+		if votes[reply.Accepted] > len(replicas)/2 {
 			agreed, ballot = reply.Value, reply.Accepted
 		}
 		return agreed != nil
 	})
-	if agreed == nil || len(agreed.Previous) > 0 || !sameReplicas(agreed.Replicas, known) {
+	if agreed == nil || len(agreed.Previous) > 0 || !sameReplicas(agreed.Replicas, replicas) {
 		return nil
 	}
-	p.hold(ballot, agreed)
+	p.setChosen(ballot, agreed)
 	return agreed
 }
--- a/internal/replicator/replicator_test.go
+++ b/internal/replicator/replicator_test.go
@@ -20,93 +20,94 @@
 }
 
 var (
-	errLost  = errors.New("message lost")
-	errPower = errors.New("power lost")
+	errMessageLost = errors.New("message lost")
+	errPowerLoss   = errors.New("power lost")
 )
 
-// disks are the replicas of a test, by VM, with real files.
-type disks struct {
+// cluster holds the replicas of a test with real files, and is the transport between them. Messages can be lost
+// and writes interrupted.
+type cluster struct {
 	folder string
 	tb     testing.TB
 
-	mu       sync.Mutex
-	acceptor map[string]*Acceptor
-	// cut holds the VMs that no message reaches.
-	cut map[string]bool
-	// lose decides for each message whether the request or the reply is lost.
-	lose func() (request, reply bool)
-	// step is called at each step of a write.
-	step func(vm string, step persister.Step, name string) error
+	mu        sync.Mutex
+	acceptors map[string]*Acceptor
+	// unreachable holds the VMs that no message reaches.
+	unreachable map[string]bool
+	// loss decides for each message whether the request or the reply is lost.
+	loss func() (request, reply bool)
+	// writeHook is called at each step of a write; an error interrupts the write.
+	writeHook func(vm string, step persister.Step, name string) error
 }
 
-func newDisks(tb testing.TB, vms ...string) *disks {
+func newCluster(tb testing.TB, vms ...string) *cluster {
 	tb.Helper()
 	folder, err := os.MkdirTemp("", "replicator")
 	if err != nil {
 		tb.Fatal(err)
 	}
 	tb.Cleanup(func() { _ = os.RemoveAll(folder) })
-	d := &disks{
-		acceptor: make(map[string]*Acceptor), cut: make(map[string]bool), folder: folder, tb: tb,
-		lose: func() (bool, bool) { return false, false },
-		step: func(string, persister.Step, string) error { return nil },
+	c := &cluster{
+		acceptors: make(map[string]*Acceptor), unreachable: make(map[string]bool), folder: folder, tb: tb,
+		loss:      func() (bool, bool) { return false, false },
+		writeHook: func(string, persister.Step, string) error { return nil },
 	}
 	for _, vm := range vms {
-		d.start(vm)
+		c.start(vm)
 	}
-	return d
+	return c
 }
 
-func (d *disks) path(vm string) string {
-	return filepath.Join(d.folder, vm)
+func (c *cluster) folderOf(vm string) string {
+	return filepath.Join(c.folder, vm)
 }
 
 // start opens the VM's replica from its files.
-func (d *disks) start(vm string) {
-	d.tb.Helper()
-	d.stop(vm)
-	a, err := d.open(vm)
+func (c *cluster) start(vm string) {
+	c.tb.Helper()
+	c.stop(vm)
+	a, err := c.open(vm)
 	if err != nil {
-		d.tb.Fatal(err)
+		c.tb.Fatal(err)
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.acceptor[vm] = a
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.acceptors[vm] = a
 }
 
-// setStep replaces what happens at each step of a write.
-func (d *disks) setStep(f func(vm string, step persister.Step, name string) error) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.step = f
+// setWriteHook sets the function that is called at each step of a write.
+func (c *cluster) setWriteHook(f func(vm string, step persister.Step, name string) error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.writeHook = f
 }
 
-// setCut makes the VM unreachable, or reachable again.
-func (d *disks) setCut(vm string, cut bool) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.cut[vm] = cut
+// setUnreachable cuts the VM off from all messages, or reconnects it.
+func (c *cluster) setUnreachable(vm string, unreachable bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.unreachable[vm] = unreachable
 }
 
-// stop ends the VM's replica, if it runs, once no message is being answered.
-func (d *disks) stop(vm string) {
-	d.mu.Lock()
-	a := d.acceptor[vm]
-	delete(d.acceptor, vm)
-	d.mu.Unlock()
+// stop closes the VM's replica, if it runs. A request that is in progress finishes first.
+func (c *cluster) stop(vm string) {
+	c.mu.Lock()
+	a := c.acceptors[vm]
+	delete(c.acceptors, vm)
+	c.mu.Unlock()
 	if a == nil {
 		return
 	}
 	if err := a.Close(); err != nil {
-		d.tb.Fatal(err)
+		c.tb.Fatal(err)
 	}
 }
 
-func (d *disks) open(vm string) (*Acceptor, error) {
-	folder, err := persister.Open(d.path(vm), persister.WithStep(func(step persister.Step, name string) error {
-		d.mu.Lock()
-		f := d.step
-		d.mu.Unlock()
+func (c *cluster) open(vm string) (*Acceptor, error) {
+	folder, err := persister.Open(c.folderOf(vm), persister.WithStep(func(step persister.Step, name string) error {
+		c.mu.Lock()
+		f := c.writeHook
+		c.mu.Unlock()
 		return f(vm, step, name)
 	}))
 	if err != nil {
@@ -115,89 +116,92 @@
 	return OpenAcceptor(folder)
 }
 
-// wipe replaces the VM's disk by an empty one.
-func (d *disks) wipe(vm string) {
-	d.stop(vm)
-	if err := os.RemoveAll(d.path(vm)); err != nil {
-		d.tb.Fatal(err)
+// wipe replaces the VM's disk with an empty one and restarts the replica.
+func (c *cluster) wipe(vm string) {
+	c.stop(vm)
+	if err := os.RemoveAll(c.folderOf(vm)); err != nil {
+		c.tb.Fatal(err)
 	}
-	d.start(vm)
+	c.start(vm)
 }
 
-func (d *disks) replica(vm string) Replica {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return Replica{DiskID: d.acceptor[vm].DiskID(), VM: vm}
+func (c *cluster) replica(vm string) Replica {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return Replica{DiskID: c.acceptors[vm].DiskID(), VM: vm}
 }
 
-func (d *disks) replicas(vms ...string) []Replica {
+func (c *cluster) replicas(vms ...string) []Replica {
 	var replicas []Replica
 	for _, vm := range vms {
-		replicas = append(replicas, d.replica(vm))
+		replicas = append(replicas, c.replica(vm))
 	}
 	return replicas
 }
 
-func (d *disks) reach(vm string) (a *Acceptor, loseReply bool, err error) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	request, reply := d.lose()
-	if d.cut[vm] || request || d.acceptor[vm] == nil {
-		return nil, false, errLost
+// acceptorFor returns the VM's replica for one message and whether its reply is to be lost. The error is
+// errMessageLost if the request is lost.
+func (c *cluster) acceptorFor(vm string) (a *Acceptor, loseReply bool, err error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	request, reply := c.loss()
+	if c.unreachable[vm] || request || c.acceptors[vm] == nil {
+		return nil, false, errMessageLost
 	}
-	return d.acceptor[vm], reply, nil
+	return c.acceptors[vm], reply, nil
 }
 
 // Prepare implements Transport.
-func (d *disks) Prepare(_ context.Context, vm string, request PrepareRequest) (PrepareReply, error) {
-	a, loseReply, err := d.reach(vm)
+func (c *cluster) Prepare(_ context.Context, vm string, request PrepareRequest) (PrepareReply, error) {
+	a, loseReply, err := c.acceptorFor(vm)
 	if err != nil {
 		return PrepareReply{}, err
 	}
 	reply, err := a.Prepare(request)
 	if err == nil && loseReply {
-		return PrepareReply{}, errLost
+		return PrepareReply{}, errMessageLost
 	}
 	return reply, err
 }
 
 // Accept implements Transport.
-func (d *disks) Accept(_ context.Context, vm string, request AcceptRequest) (AcceptReply, error) {
-	a, loseReply, err := d.reach(vm)
+func (c *cluster) Accept(_ context.Context, vm string, request AcceptRequest) (AcceptReply, error) {
+	a, loseReply, err := c.acceptorFor(vm)
 	if err != nil {
 		return AcceptReply{}, err
 	}
 	reply, err := a.Accept(request)
 	if err == nil && loseReply {
-		return AcceptReply{}, errLost
+		return AcceptReply{}, errMessageLost
 	}
 	return reply, err
 }
 
-func (d *disks) Query(_ context.Context, vm string, request QueryRequest) (QueryReply, error) {
-	a, loseReply, err := d.reach(vm)
+// Query implements Transport.
+func (c *cluster) Query(_ context.Context, vm string, request QueryRequest) (QueryReply, error) {
+	a, loseReply, err := c.acceptorFor(vm)
 	if err != nil {
 		return QueryReply{}, err
 	}
 	reply, err := a.Query(request)
 	if loseReply {
-		return QueryReply{}, errLost
+		return QueryReply{}, errMessageLost
 	}
 	return reply, err
 }
 
-func (d *disks) proposer(name string, replicas []Replica) *Proposer {
-	p := NewProposer(timekeeper.System{}, name, d)
+func (c *cluster) proposer(name string, replicas []Replica) *Proposer {
+	p := NewProposer(timekeeper.System{}, name, c)
 	p.Follow(replicas)
 	return p
 }
 
-func (d *disks) bootstrap(vms ...string) []Replica {
-	d.tb.Helper()
-	replicas := d.replicas(vms...)
-	_, err := d.proposer("boot", replicas).Bootstrap(context.Background(), &Change{ID: "first", Replicas: replicas, Text: "v1"})
+func (c *cluster) bootstrap(vms ...string) []Replica {
+	c.tb.Helper()
+	replicas := c.replicas(vms...)
+	_, err := c.proposer("boot", replicas).Bootstrap(context.Background(), &Change{ID: "first", Replicas: replicas, Text: "v1"})
 	if err != nil {
-		d.tb.Fatal(err)
+		c.tb.Fatal(err)
 	}
 	return replicas
 }
@@ -206,96 +210,102 @@
 	return &Change{Base: base, ID: id, Replicas: replicas, Text: "text of " + id, Time: time.Unix(0, 0)}
 }
 
-func TestOperatorsRaceWithEqualVersions(t *testing.T) {
-	d := newDisks(t, "a", "b", "c")
-	replicas := d.bootstrap("a", "b", "c")
+// TestConcurrentChangesFromSameVersion guards against lost updates: of several changes that are made from the
+// same version at once, one must be applied and the others must return a conflict.
+func TestConcurrentChangesFromSameVersion(t *testing.T) {
+	c := newCluster(t, "a", "b", "c")
+	replicas := c.bootstrap("a", "b", "c")
 	const operators = 5
 	errs := make([]error, operators)
-	var race sync.WaitGroup
+	var wg sync.WaitGroup
 	for i := range operators {
-		race.Go(func() {
-			p := d.proposer(fmt.Sprintf("p%d", i), replicas)
+		wg.Go(func() {
+			p := c.proposer(fmt.Sprintf("p%d", i), replicas)
 			_, _, errs[i] = p.Apply(context.Background(), change(fmt.Sprintf("c%d", i), 1, replicas))
 		})
 	}
-	race.Wait()
-	won := 0
+	wg.Wait()
+	winners := 0
 	for _, err := range errs {
 		switch {
 		case err == nil:
-			won++
+			winners++
 		case !errors.Is(err, ErrConflict):
-			t.Errorf("got %v, want a conflict", err)
+			t.Errorf("got error %v, want a conflict", err)
 		}
 	}
-	if won != 1 {
-		t.Errorf("%d operators won, want 1", won)
+	if winners != 1 {
+		t.Errorf("%d changes were applied, want 1", winners)
 	}
 }
 
-func TestChangeSentAgainGetsItsFirstResult(t *testing.T) {
-	d := newDisks(t, "a", "b", "c")
-	replicas := d.bootstrap("a", "b", "c")
-	_, first, err := d.proposer("p1", replicas).Apply(context.Background(), change("c1", 1, replicas))
+// TestRepeatedChangeReturnsFirstResult guards against applying a change twice: it is sent again after a later
+// change and a restart of all replicas, and must return the version of the first time.
+func TestRepeatedChangeReturnsFirstResult(t *testing.T) {
+	c := newCluster(t, "a", "b", "c")
+	replicas := c.bootstrap("a", "b", "c")
+	_, first, err := c.proposer("p1", replicas).Apply(context.Background(), change("c1", 1, replicas))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := d.proposer("p1", replicas).Apply(context.Background(), change("c2", 2, replicas)); err != nil {
+	if _, _, err := c.proposer("p1", replicas).Apply(context.Background(), change("c2", 2, replicas)); err != nil {
 		t.Fatal(err)
 	}
 	for _, vm := range []string{"a", "b", "c"} {
-		d.start(vm)
+		c.start(vm)
 	}
-	_, again, err := d.proposer("p2", replicas).Apply(context.Background(), change("c1", 1, replicas))
+	_, again, err := c.proposer("p2", replicas).Apply(context.Background(), change("c1", 1, replicas))
 	if err != nil || again != first {
-		t.Errorf("sent again: version %d, %v; want %d", again, err, first)
+		t.Errorf("repeated change: version %d, error %v; want version %d", again, err, first)
 	}
 }
 
-// TestPowerLostAtEachStep cuts the power of one replica at each step of each record's write. What
-// was not synced is lost. The replica must start again, and no accepted change may be lost even
-// when another replica's disk is lost right after.
-func TestPowerLostAtEachStep(t *testing.T) {
+// TestPowerLossAtEachWriteStep interrupts one replica at each step of each record's write, as a power loss does;
+// data that was not synced is lost. The replica must start again, and no accepted change may be lost, even if
+// the disk of another replica is lost right afterwards.
+func TestPowerLossAtEachWriteStep(t *testing.T) {
 	for _, step := range persister.Steps() {
 		for _, record := range []string{recordPromise, recordAccepted} {
-			t.Run(string(step)+" "+record, func(t *testing.T) { losePower(t, step, record) })
+			t.Run(string(step)+" "+record, func(t *testing.T) { testPowerLoss(t, step, record) })
 		}
 	}
 }
 
-func losePower(t *testing.T, step persister.Step, record string) {
-	d := newDisks(t, "a", "b", "c")
-	replicas := d.bootstrap("a", "b", "c")
-	p := d.proposer("p", replicas)
-	d.setStep(func(vm string, at persister.Step, name string) error {
+func testPowerLoss(t *testing.T, step persister.Step, record string) {
+	c := newCluster(t, "a", "b", "c")
+	replicas := c.bootstrap("a", "b", "c")
+	p := c.proposer("p", replicas)
+	c.setWriteHook(func(vm string, at persister.Step, name string) error {
 		if vm != "a" || at != step || name != record {
 			return nil
 		}
 		if step == persister.StepBeforeSync {
-			if err := os.Truncate(filepath.Join(d.path(vm), name+".new"), 5); err != nil {
+			if err := os.Truncate(filepath.Join(c.folderOf(vm), name+".new"), 5); err != nil {
 				t.Error(err)
 			}
 		}
-		return errPower
+		return errPowerLoss
 	})
 	_, version, err := p.Apply(context.Background(), change("c1", 1, replicas))
-	d.setStep(func(string, persister.Step, string) error { return nil })
-	d.start("a")
+	c.setWriteHook(func(string, persister.Step, string) error { return nil })
+	c.start("a")
 	if applied := err == nil; !applied {
-		t.Fatalf("two replicas of three are a majority: %v", err)
+		t.Fatalf("change with a majority of two replicas out of three: %v", err)
 	}
-	d.wipe("b")
+	c.wipe("b")
 	value, readErr := p.Read(context.Background())
 	if readErr != nil {
-		t.Fatalf("reading after the loss: %v", readErr)
+		t.Fatalf("read after the disk loss: %v", readErr)
 	}
 	if value.Version < version {
-		t.Errorf("version %d was accepted and %d is read", version, value.Version)
+		t.Errorf("version %d was accepted, but version %d was read", version, value.Version)
 	}
 }
 
-func TestTornStateIsRefused(t *testing.T) {
-	spoil := map[string]func(path string) error{
+// TestCorruptStateIsRejected guards against a replica that starts with damaged records and so forgets a promise or
+// an accepted value.
+func TestCorruptStateIsRejected(t *testing.T) {
+	corruptions := map[string]func(path string) error{
 		"torn":    func(path string) error { return os.Truncate(path, 20) },
 		"empty":   func(path string) error { return os.Truncate(path, 0) },
 		"missing": os.Remove,
@@ -308,124 +318,131 @@
 			return os.WriteFile(path, data, 0o600)
 		},
 	}
-	for name, f := range spoil {
+	for name, corrupt := range corruptions {
 		for _, record := range []string{recordPromise, recordAccepted} {
 			t.Run(name+" "+record, func(t *testing.T) {
-				d := newDisks(t, "a")
-				d.bootstrap("a")
-				d.stop("a")
-				if err := f(filepath.Join(d.path("a"), record)); err != nil {
+				c := newCluster(t, "a")
+				c.bootstrap("a")
+				c.stop("a")
+				if err := corrupt(filepath.Join(c.folderOf("a"), record)); err != nil {
 					t.Fatal(err)
 				}
-				_, err := d.open("a")
+				_, err := c.open("a")
 				if !errors.Is(err, persister.ErrCorrupt) && !errors.Is(err, persister.ErrMissing) {
-					t.Errorf("got %v, want the state to be refused", err)
+					t.Errorf("got error %v, want ErrCorrupt or ErrMissing", err)
 				}
 			})
 		}
 	}
 }
 
-// TestSecondLossAfterRepair loses a disk, swaps the new one in, and loses another VM at once.
-func TestSecondLossAfterRepair(t *testing.T) {
+// TestSecondReplicaLossAfterDiskReplacement guards against data loss when another VM fails right after a lost disk
+// was replaced: the new replica must hold the state by then.
+func TestSecondReplicaLossAfterDiskReplacement(t *testing.T) {
 	for _, second := range []string{"a", "b"} {
-		d := newDisks(t, "a", "b", "c")
-		old := d.bootstrap("a", "b", "c")
-		p := d.proposer("p", old)
+		c := newCluster(t, "a", "b", "c")
+		old := c.bootstrap("a", "b", "c")
+		p := c.proposer("p", old)
 		if _, _, err := p.Apply(context.Background(), change("c1", 1, old)); err != nil {
 			t.Fatal(err)
 		}
-		d.wipe("c")
-		if _, err := d.acceptor["c"].Prepare(PrepareRequest{DiskID: old[2].DiskID}); !errors.Is(err, ErrOtherDisk) {
-			t.Fatalf("a replica without memory voted: %v", err)
+		c.wipe("c")
+		if _, err := c.acceptors["c"].Prepare(PrepareRequest{DiskID: old[2].DiskID}); !errors.Is(err, ErrOtherDisk) {
+			t.Fatalf("request for the old disk: got error %v, want ErrOtherDisk", err)
 		}
-		repaired := d.replicas("a", "b", "c")
+		repaired := c.replicas("a", "b", "c")
 		if _, _, err := p.Apply(context.Background(), change("repair", 2, repaired)); err != nil {
 			t.Fatal(err)
 		}
-		d.setCut(second, true)
-		other := d.proposer("other", repaired)
+		c.setUnreachable(second, true)
+		other := c.proposer("other", repaired)
 		value, err := other.Read(context.Background())
 		if err != nil || value.Version != 3 || len(value.Previous) > 0 {
 			t.Fatalf("after the loss of %s: %+v, %v", second, value, err)
 		}
 		if _, _, err := other.Apply(context.Background(), change("c3", 3, repaired)); err != nil {
-			t.Errorf("a change after the loss of %s: %v", second, err)
+			t.Errorf("change after the loss of %s: %v", second, err)
 		}
-		// One that knows the old set only must not take the rest of it for the truth.
-		if value, err := d.proposer("stale", old).Read(context.Background()); err == nil && value.Version < 4 {
+		// A proposer that knows only the old set must not return an old version from its remaining replicas.
+		if value, err := c.proposer("stale", old).Read(context.Background()); err == nil && value.Version < 4 {
 			t.Errorf("a proposer with the old set read version %d", value.Version)
 		}
 	}
 }
 
-func TestSwapNeedsTheNewDiskToHoldTheState(t *testing.T) {
-	d := newDisks(t, "a", "b", "c", "d")
-	old := d.bootstrap("a", "b", "c")
-	next := d.replicas("a", "b", "d")
-	d.setCut("d", true)
-	_, _, err := d.proposer("p", old).Apply(context.Background(), change("swap", 1, next))
+// TestAddedReplicaMustAccept guards against a new replica that counts before it holds the state: a change that adds
+// an unreachable replica must fail.
+func TestAddedReplicaMustAccept(t *testing.T) {
+	c := newCluster(t, "a", "b", "c", "d")
+	old := c.bootstrap("a", "b", "c")
+	next := c.replicas("a", "b", "d")
+	c.setUnreachable("d", true)
+	_, _, err := c.proposer("p", old).Apply(context.Background(), change("swap", 1, next))
 	if !errors.Is(err, ErrNoMajority) {
-		t.Errorf("a replica that can't be reached was swapped in: %v", err)
+		t.Errorf("adding an unreachable replica: got error %v, want ErrNoMajority", err)
 	}
 }
 
+// TestNoMajority checks that a change without a majority of replicas fails within the time of a round, and that the
+// same change succeeds once a majority is reachable.
 func TestNoMajority(t *testing.T) {
-	d := newDisks(t, "a", "b", "c")
-	replicas := d.bootstrap("a", "b", "c")
-	d.setCut("b", true)
-	d.setCut("c", true)
-	p := d.proposer("p", replicas)
+	c := newCluster(t, "a", "b", "c")
+	replicas := c.bootstrap("a", "b", "c")
+	c.setUnreachable("b", true)
+	c.setUnreachable("c", true)
+	p := c.proposer("p", replicas)
 	started := time.Now()
 	if _, _, err := p.Apply(context.Background(), change("c1", 1, replicas)); !errors.Is(err, ErrNoMajority) {
-		t.Errorf("got %v, want no majority", err)
+		t.Errorf("got error %v, want ErrNoMajority", err)
 	}
-	if taken := time.Since(started); taken > roundTime+time.Second {
-		t.Errorf("the refusal took %s", taken)
+	if taken := time.Since(started); taken > roundTimeout+time.Second {
+		t.Errorf("the failed change took %s", taken)
 	}
-	d.setCut("b", false)
+	c.setUnreachable("b", false)
 	if _, _, err := p.Apply(context.Background(), change("c1", 1, replicas)); err != nil {
-		t.Errorf("the change sent again: %v", err)
+		t.Errorf("repeated change: %v", err)
 	}
 }
 
+// TestBootstrapOnlyOnce guards against a second bootstrap that replaces an existing document: another first version
+// must be rejected, and the same one sent again must succeed.
 func TestBootstrapOnlyOnce(t *testing.T) {
-	d := newDisks(t, "a", "b", "c")
-	replicas := d.bootstrap("a", "b", "c")
-	p := d.proposer("p", nil)
+	c := newCluster(t, "a", "b", "c")
+	replicas := c.bootstrap("a", "b", "c")
+	p := c.proposer("p", nil)
 	_, err := p.Bootstrap(context.Background(), &Change{ID: "another", Replicas: replicas, Text: "other"})
 	if !errors.Is(err, ErrBootstrapped) {
-		t.Errorf("a second first version: %v", err)
+		t.Errorf("second bootstrap: got error %v, want ErrBootstrapped", err)
 	}
 	value, err := p.Bootstrap(context.Background(), &Change{ID: "first", Replicas: replicas, Text: "v1"})
 	if err != nil || value.Version != 1 {
-		t.Errorf("the first version sent again: %v", err)
+		t.Errorf("repeated bootstrap: %v", err)
 	}
 }
 
-// TestReplicaCutOffForLong cuts a replica off while hundreds of changes pass, then brings it back.
-// It must not vote for or hand out what it knew before.
+// TestReplicaCutOffForLong disconnects a replica during 300 changes and then reconnects it. It must not vote for or
+// return its old value.
 func TestReplicaCutOffForLong(t *testing.T) {
-	d := newDisks(t, "a", "b", "c")
-	replicas := d.bootstrap("a", "b", "c")
-	d.setCut("a", true)
-	p := d.proposer("p", replicas)
+	c := newCluster(t, "a", "b", "c")
+	replicas := c.bootstrap("a", "b", "c")
+	c.setUnreachable("a", true)
+	p := c.proposer("p", replicas)
 	const changes = 300
 	for version := uint64(1); version <= changes; version++ {
 		if _, _, err := p.Apply(context.Background(), change(fmt.Sprintf("c%d", version), version, replicas)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	d.setCut("a", false)
-	d.setCut("b", true)
-	value, err := d.proposer("q", replicas).Read(context.Background())
+	c.setUnreachable("a", false)
+	c.setUnreachable("b", true)
+	value, err := c.proposer("q", replicas).Read(context.Background())
 	if err != nil || value.Version != changes+1 {
 		t.Fatalf("read %+v, %v; want version %d", value, err, changes+1)
 	}
-	if held := d.acceptor["a"].Accepted(); held.Version != changes+1 {
-		t.Errorf("the replica that came back holds version %d", held.Version)
+	if held := c.acceptors["a"].Accepted(); held.Version != changes+1 {
+		t.Errorf("the reconnected replica holds version %d", held.Version)
 	}
-	if _, _, err := d.proposer("r", replicas).Apply(context.Background(), change("old", 1, replicas)); !errors.Is(err, ErrConflict) {
-		t.Errorf("a change from version 1: %v, want a conflict", err)
+	if _, _, err := c.proposer("r", replicas).Apply(context.Background(), change("old", 1, replicas)); !errors.Is(err, ErrConflict) {
+		t.Errorf("change from version 1: got error %v, want a conflict", err)
 	}
 }
--- a/internal/replicator/tally.go
+++ b/internal/replicator/tally.go
@@ -10,52 +10,55 @@
 
 // tally collects the votes of one phase of a round.
 type tally[R any] struct {
-	// lost are the replicas that have not voted for the ballot and won't.
-	lost     []Replica
-	outbid   bool
-	refusals []error
-	// replies holds the votes for the ballot.
+	// failed lists the replicas that returned an error or rejected the ballot.
+	failed []Replica
+	// preempted is true if a replica has promised a higher ballot.
+	preempted bool
+	errs      []error
+	// replies holds the replies of the replicas that voted for the ballot.
 	replies map[Replica]R
 }
 
-// take books one replica's answer; ok is false when it has promised a higher ballot. It reports whether
-// this is the first such answer.
-func (t *tally[R]) take(replica Replica, reply R, ok bool, err error) (outbid bool) {
+// add records the reply or the error of one replica. ok is false if the replica has promised a higher ballot;
+// add reports whether this is the first such reply.
+func (t *tally[R]) add(replica Replica, reply R, ok bool, err error) (firstPreemption bool) {
 	switch {
 	case err != nil:
-		t.lost = append(t.lost, replica)
-		t.refusals = append(t.refusals, merry.Prepend(err, replica.VM))
+		t.failed = append(t.failed, replica)
+		t.errs = append(t.errs, merry.Prepend(err, replica.VM))
 	case !ok:
-		t.lost = append(t.lost, replica)
-		outbid = !t.outbid
-		t.outbid = true
+		t.failed = append(t.failed, replica)
+		firstPreemption = !t.preempted
+		t.preempted = true
 	default:
 		t.replies[replica] = reply
 	}
-	return outbid
+	return firstPreemption
 }
 
-// isLost reports whether one of the sets can't have a majority any more, or one of all has not voted.
-func (t *tally[R]) isLost(sets [][]Replica, all []Replica) bool {
+// cannotSucceed reports whether one of the sets can no longer reach a majority, or one of the replicas in all
+// has failed.
+func (t *tally[R]) cannotSucceed(sets [][]Replica, all []Replica) bool {
 	for _, replica := range all {
-		if slices.Contains(t.lost, replica) {
+		if slices.Contains(t.failed, replica) {
 			return true
 		}
 	}
 	for _, set := range sets {
-		left := len(set)
-		for _, replica := range t.lost {
+		remaining := len(set)
+		for _, replica := range t.failed {
 			if slices.Contains(set, replica) {
-				left--
+				remaining--
 			}
 		}
-		if left <= len(set)/2 {
+		if remaining <= len(set)/2 {
 			return true
 		}
 	}
 	return false
 }
 
+// hasAll reports whether every one of the replicas has voted for the ballot.
 func (t *tally[R]) hasAll(replicas []Replica) bool {
 	for _, replica := range replicas {
 		if _, ok := t.replies[replica]; !ok {
@@ -65,10 +68,11 @@
 	return true
 }
 
-// failure returns why the phase has too few votes.
+// failure returns the error of a phase with too few votes: errPreempted, or one that wraps ErrNoMajority and
+// the errors of the replicas.
 func (t *tally[R]) failure() error {
-	if t.outbid {
-		return errOutbid
+	if t.preempted {
+		return errPreempted
 	}
-	return fmt.Errorf("%w: %w", ErrNoMajority, errors.Join(t.refusals...))
+	return fmt.Errorf("%w: %w", ErrNoMajority, errors.Join(t.errs...))
 }
--- a/internal/replicator/value.go
+++ b/internal/replicator/value.go
@@ -1,7 +1,7 @@
-// Package replicator keeps one value, the configuration, on a few replicas with disks. It is a
-// register in the manner of single-value Paxos without a log (Lamport, 1998; Rystsov: CASPaxos,
-// 2018): every change is a round that reads the newest value from a majority and has its successor
-// accepted by one.
+// Package replicator stores one value, the configuration, on a small set of replicas with disks. It
+// implements a replicated register with single-value Paxos and without a log (Lamport, 1998; Rystsov:
+// CASPaxos, 2018): every change is a round that reads the newest value from a majority of the replicas
+// and then gets the successor of that value accepted by a majority.
 package replicator
 
 import (
@@ -11,54 +11,59 @@
 	"time"
 )
 
+// Limits on the lists in a Value.
 const (
-	maxHistory = 20
-	maxResults = 600
-	maxTexts   = 2
+	maxHistoryEntries = 20
+	maxChangeResults  = 600
+	maxHistoryTexts   = 2
 )
 
-// Replica names one voter. A VM whose disk was lost is another replica.
+// Replica identifies one voter. A VM that has lost its disk counts as a different replica, because
+// its new disk has another id.
 type Replica struct {
 	DiskID string `json:"disk-id"`
 	VM     string `json:"vm"`
 }
 
-// Value is what the register holds.
+// Value is the content of the register: the document, the replicas that store it, and its history.
 type Value struct {
-	// Deployment is drawn at the first version and never changes.
+	// Deployment is a random id that is generated when the register is created and never changes.
 	Deployment string `json:"deployment"`
-	// History lists the last versions, the newest last.
+	// History lists the most recent versions, the newest last: at most maxHistoryEntries.
 	History []Entry `json:"history"`
-	// Previous is the set of replicas before the change that made this value, if it differs.
+	// Previous is the set of replicas before the change that made this value, if that change replaced
+	// the set. While it is present, a majority of this set must accept a value as well.
 	Previous []Replica `json:"previous,omitempty"`
 	Replicas []Replica `json:"replicas"`
-	// Results lists the last changes, the newest last.
+	// Results lists the most recent changes, the newest last: at most maxChangeResults.
 	Results []ChangeResult `json:"results"`
-	// Revision rises by one with each change of the document or of the replicas.
+	// Revision increases by one with each change of the document or of the replicas.
 	Revision uint64 `json:"revision"`
 	// Text is the document as the operator wrote it.
 	Text string `json:"text,omitempty"`
-	// Version is that of the document; zero before the first one.
+	// Version is the version of the document; zero before the first document.
 	Version uint64 `json:"version"`
 }
 
-// wireValue is a Value with its text compressed.
+// wireValue is the JSON form of a Value, with the text compressed.
 type wireValue struct {
 	plainValue
 	Packed []byte `json:"packed"`
 }
 
-// plainValue has the fields of Value without its methods.
+// plainValue has the fields of Value without its methods, so that encoding it does not call MarshalJSON
+// again.
 type plainValue Value
 
-// MarshalJSON implements json.Marshaler.
+// MarshalJSON implements json.Marshaler. The text is written compressed.
 func (v *Value) MarshalJSON() ([]byte, error) {
 	wire := wireValue{plainValue: plainValue(*v), Packed: Pack(v.Text)}
 	wire.Text = ""
 	return json.Marshal(wire)
 }
 
-// UnmarshalJSON implements json.Unmarshaler.
+// UnmarshalJSON implements json.Unmarshaler. The error wraps ErrPacked if the text can't be
+// decompressed.
 func (v *Value) UnmarshalJSON(data []byte) error {
 	var wire wireValue
 	if err := json.Unmarshal(data, &wire); err != nil {
@@ -73,39 +78,41 @@
 	return nil
 }
 
-// Entry is one version in the history.
+// Entry describes one version in the history of a Value.
 type Entry struct {
 	Author   string `json:"author,omitempty"`
 	ChangeID string `json:"change-id"`
-	// Packed is the text, compressed; empty where it is no longer kept.
+	// Packed is the compressed text. It is empty in all but the newest maxHistoryTexts entries.
 	Packed  []byte    `json:"packed,omitempty"`
 	Time    time.Time `json:"time"`
 	Version uint64    `json:"version"`
 }
 
-// ChangeResult is the version that a change made.
+// ChangeResult records which version a change created, so that a change that is sent again gets the
+// same result.
 type ChangeResult struct {
 	ChangeID string `json:"change-id"`
 	Version  uint64 `json:"version"`
 }
 
-// Change asks for a new document.
+// Change is a request to replace the document and, optionally, the set of replicas.
 type Change struct {
 	Author string
 	// Base is the version that the change was made from.
 	Base uint64
-	// ID tells a change that is sent again from a new one.
+	// ID identifies the change, so that a repeated request is told apart from a new change.
 	ID string
 	// Replicas is the new set of replicas; nil keeps the current one.
 	Replicas []Replica
 	Text     string
 	Time     time.Time
-	// Version is the version that the author has chosen; zero takes the next one.
+	// Version is the version number that the author has chosen; zero selects the next one.
 	Version uint64
 }
 
-// resultOf returns the version that a change with the id made before.
-func (v *Value) resultOf(changeID string) (uint64, bool) {
+// appliedVersion returns the version that the change with the id created, if the change is among the
+// stored results.
+func (v *Value) appliedVersion(changeID string) (uint64, bool) {
 	for _, result := range v.Results {
 		if result.ChangeID == changeID {
 			return result.Version, true
@@ -114,11 +121,11 @@
 	return 0, false
 }
 
-// next returns the successor that the change makes.
-func (v *Value) next(change *Change) *Value {
-	successor := v.reconfigured(v.Replicas)
+// withChange returns the value that results from applying the change to v.
+func (v *Value) withChange(change *Change) *Value {
+	successor := v.withReplicas(v.Replicas)
 	if change.Replicas != nil {
-		successor = v.reconfigured(change.Replicas)
+		successor = v.withReplicas(change.Replicas)
 	}
 	successor.Text = change.Text
 	successor.Version = v.Version + 1
@@ -128,17 +135,17 @@
 	successor.History = append(slices.Clone(v.History), Entry{
 		Author: change.Author, ChangeID: change.ID, Packed: Pack(change.Text), Time: change.Time, Version: successor.Version,
 	})
-	successor.History = successor.History[max(0, len(successor.History)-maxHistory):]
-	for i := range max(0, len(successor.History)-maxTexts) {
+	successor.History = successor.History[max(0, len(successor.History)-maxHistoryEntries):]
+	for i := range max(0, len(successor.History)-maxHistoryTexts) {
 		successor.History[i].Packed = nil
 	}
 	successor.Results = append(slices.Clone(v.Results), ChangeResult{ChangeID: change.ID, Version: successor.Version})
-	successor.Results = successor.Results[max(0, len(successor.Results)-maxResults):]
+	successor.Results = successor.Results[max(0, len(successor.Results)-maxChangeResults):]
 	return successor
 }
 
-// reconfigured returns the successor with the same document on other replicas.
-func (v *Value) reconfigured(replicas []Replica) *Value {
+// withReplicas returns the successor of v that has the same document on the given replicas.
+func (v *Value) withReplicas(replicas []Replica) *Value {
 	successor := *v
 	successor.Previous = nil
 	successor.Replicas = replicas
@@ -149,15 +156,15 @@
 	return &successor
 }
 
-// settled returns the value without the set of replicas before it. A round that has it accepted by
-// majorities of both sets ends the change of the set: the old one is not needed any more.
-func (v *Value) settled() *Value {
+// withoutPrevious returns the value without its previous set of replicas. Once majorities of both sets have
+// accepted the result, the change of the replicas is complete and the old set is no longer needed.
+func (v *Value) withoutPrevious() *Value {
 	if len(v.Previous) == 0 {
 		return v
 	}
-	settled := *v
-	settled.Previous = nil
-	return &settled
+	current := *v
+	current.Previous = nil
+	return &current
 }
 
 func sameReplicas(a, b []Replica) bool {
@@ -172,13 +179,14 @@
 	return sorted
 }
 
-// Ballot orders the rounds of all proposers. The zero ballot is below every other.
+// Ballot is the number of one attempt to have a value accepted. Ballots are totally ordered across all
+// proposers: by number, then by the proposer's name. The zero ballot is below every other.
 type Ballot struct {
 	Number   uint64 `json:"number"`
 	Proposer string `json:"proposer"`
 }
 
-// Less reports whether b comes before other.
+// Less reports whether b is lower than other.
 func (b Ballot) Less(other Ballot) bool {
 	if b.Number != other.Number {
 		return b.Number < other.Number
