--- a/internal/persister/persister.go
+++ b/internal/persister/persister.go
@@ -1,4 +1,5 @@
-// Package persister keeps small records in files that survive a crash at any point.
+// Package persister stores small records in files that survive a crash at any point: a record then has either its
+// old or its new content.
 package persister
 
 import (
@@ -13,72 +14,74 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Errors of a Folder.
+// Errors that the errors of this package wrap.
 var (
-	// ErrCorrupt is wrapped by the error of a record that is torn or changed.
+	// ErrCorrupt is wrapped by the error of reading a record that is torn or fails its checksum.
 	ErrCorrupt = merry.Sentinel("corrupt record")
-	// ErrInUse is wrapped by the error of a folder that another process has open.
+	// ErrInUse is wrapped by the error of opening a folder that another process has open.
 	ErrInUse = merry.Sentinel("folder in use")
-	// ErrMissing is wrapped by the error of a record that was never written.
+	// ErrMissing is wrapped by the error of reading a record that was never written.
 	ErrMissing = merry.Sentinel("missing record")
 )
 
-// Step is a point in the writing of a record.
+// Step identifies a point in Folder.Write.
 type Step string
 
-// The steps, in their order.
+// Steps of a write, in their order.
 const (
-	StepBeforeWrite  Step = "before-write"
-	StepBeforeSync   Step = "before-sync"
-	StepAfterSync    Step = "after-sync"
-	StepBeforeRename Step = "before-rename"
-	StepAfterRename  Step = "after-rename"
-	StepAfterFolder  Step = "after-folder-sync"
+	StepBeforeWrite     Step = "before-write"
+	StepBeforeSync      Step = "before-sync"
+	StepAfterSync       Step = "after-sync"
+	StepBeforeRename    Step = "before-rename"
+	StepAfterRename     Step = "after-rename"
+	StepAfterFolderSync Step = "after-folder-sync"
 )
 
-// Steps returns all steps in their order.
+// Steps returns all steps of a write in their order.
 func Steps() []Step {
-	return []Step{StepBeforeWrite, StepBeforeSync, StepAfterSync, StepBeforeRename, StepAfterRename, StepAfterFolder}
+	return []Step{StepBeforeWrite, StepBeforeSync, StepAfterSync, StepBeforeRename, StepAfterRename, StepAfterFolderSync}
 }
 
 const (
-	folderMode     = 0o700
-	headerBytes    = len(magic) + 8 + 8
-	lockName       = "lock"
-	magic          = "MRREC001"
-	recordMode     = 0o600
-	temporaryParts = ".new"
+	folderMode      = 0o700
+	headerBytes     = len(magic) + 8 + 8
+	lockName        = "lock"
+	magic           = "MRREC001"
+	recordMode      = 0o600
+	temporarySuffix = ".new"
 )
 
-// Folder holds records, one a file. It is not safe for concurrent use.
+// Folder holds records, one per file, and is locked against other processes. It is not safe for concurrent use.
 type Folder struct {
-	lock *os.File
-	path string
-	step func(Step, string) error
+	lock     *os.File
+	path     string
+	stepHook func(Step, string) error
 }
 
-// Option changes a Folder under construction.
+// Option configures a Folder in Open.
 type Option func(*Folder)
 
-// WithStep calls f at each step with the record's name; an error ends the writing there.
-func WithStep(f func(step Step, name string) error) Option {
-	return func(folder *Folder) { folder.step = f }
+// WithStepHook sets a function that Write calls at each step with the record's name. If it returns an error,
+// Write stops there and returns that error.
+func WithStepHook(hook func(step Step, name string) error) Option {
+	return func(folder *Folder) { folder.stepHook = hook }
 }
 
-// Open returns the folder at path and creates it where there is none.
+// Open opens and locks the folder at path, and creates it if it does not exist. The error wraps ErrInUse if the
+// lock is held elsewhere.
 func Open(path string, options ...Option) (*Folder, error) {
 	if err := os.MkdirAll(path, folderMode); err != nil {
 		return nil, err
 	}
-	folder := &Folder{path: path, step: func(Step, string) error { return nil }}
+	folder := &Folder{path: path, stepHook: func(Step, string) error { return nil }}
 	for _, option := range options {
 		option(folder)
 	}
-	return folder, folder.take()
+	return folder, folder.acquireLock()
 }
 
-// take locks the folder until Close or the end of the process.
-func (f *Folder) take() error {
+// acquireLock locks the folder until Close is called or the process ends.
+func (f *Folder) acquireLock() error {
 	path := filepath.Join(f.path, lockName)
 	lock, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, recordMode)
 	if err != nil {
@@ -91,12 +94,12 @@
 	return nil
 }
 
-// Close lets others open the folder.
+// Close releases the lock, so that another process can open the folder.
 func (f *Folder) Close() error {
 	return f.lock.Close()
 }
 
-// IsEmpty reports whether the folder holds no record, whole or begun.
+// IsEmpty reports whether the folder contains no record, neither a complete one nor a partly written one.
 func (f *Folder) IsEmpty() (bool, error) {
 	entries, err := os.ReadDir(f.path)
 	for _, entry := range entries {
@@ -107,7 +110,8 @@
 	return true, err
 }
 
-// Read returns the content of a record. The error wraps ErrMissing or ErrCorrupt.
+// Read returns the content of a record. The error wraps ErrMissing if there is no such record and ErrCorrupt if it
+// is damaged.
 func (f *Folder) Read(name string) ([]byte, error) {
 	path := filepath.Join(f.path, name)
 	data, err := os.ReadFile(path)
@@ -124,32 +128,33 @@
 	return content, nil
 }
 
-// Write replaces a record. When it returns nil the content survives a crash; after an error either
-// the old or the new content does.
+// Write replaces a record: it writes and syncs a temporary file, renames it and syncs the folder. When it returns
+// nil, the new content survives a crash; after an error, either the old or the new content does.
 func (f *Folder) Write(name string, content []byte) error {
 	path := filepath.Join(f.path, name)
-	temporary := path + temporaryParts
-	if err := f.step(StepBeforeWrite, name); err != nil {
+	temporary := path + temporarySuffix
+	if err := f.stepHook(StepBeforeWrite, name); err != nil {
 		return err
 	}
 	if err := f.writeSynced(temporary, name, frame(content)); err != nil {
 		return merry.Prepend(err, temporary)
 	}
-	if err := f.step(StepBeforeRename, name); err != nil {
+	if err := f.stepHook(StepBeforeRename, name); err != nil {
 		return err
 	}
 	if err := os.Rename(temporary, path); err != nil {
 		return err
 	}
-	if err := f.step(StepAfterRename, name); err != nil {
+	if err := f.stepHook(StepAfterRename, name); err != nil {
 		return err
 	}
 	if err := f.syncFolder(); err != nil {
 		return merry.Prepend(err, f.path)
 	}
-	return f.step(StepAfterFolder, name)
+	return f.stepHook(StepAfterFolderSync, name)
 }
 
+// writeSynced writes the data to the file at path and syncs it to disk.
 func (f *Folder) writeSynced(path, name string, data []byte) (err error) {
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, recordMode)
 	if err != nil {
@@ -159,15 +164,16 @@
 	if _, err := file.Write(data); err != nil {
 		return err
 	}
-	if err := f.step(StepBeforeSync, name); err != nil {
+	if err := f.stepHook(StepBeforeSync, name); err != nil {
 		return err
 	}
 	if err := file.Sync(); err != nil {
 		return err
 	}
-	return f.step(StepAfterSync, name)
+	return f.stepHook(StepAfterSync, name)
 }
 
+// syncFolder syncs the folder itself, so that a rename in it survives a crash.
 func (f *Folder) syncFolder() (err error) {
 	folder, err := os.Open(f.path)
 	if err != nil {
@@ -177,7 +183,8 @@
 	return folder.Sync()
 }
 
-// frame puts a magic word, the length and a checksum before the content.
+// frame returns the content of a record file: magic, the length of the content and its xxHash64, both as 8 bytes in
+// little-endian order, and the content.
 func frame(content []byte) []byte {
 	data := make([]byte, 0, headerBytes+len(content))
 	data = append(data, magic...)
@@ -186,6 +193,8 @@
 	return append(data, content...)
 }
 
+// unframe returns the content of a record file. It returns false if the header, the length or the checksum does not
+// match.
 func unframe(data []byte) ([]byte, bool) {
 	if len(data) < headerBytes || string(data[:len(magic)]) != magic {
 		return nil, false
--- a/internal/replicator/replicator_test.go
+++ b/internal/replicator/replicator_test.go
@@ -104,7 +104,7 @@
 }
 
 func (c *cluster) open(vm string) (*Acceptor, error) {
-	folder, err := persister.Open(c.folderOf(vm), persister.WithStep(func(step persister.Step, name string) error {
+	folder, err := persister.Open(c.folderOf(vm), persister.WithStepHook(func(step persister.Step, name string) error {
 		c.mu.Lock()
 		f := c.writeHook
 		c.mu.Unlock()
