--- a/internal/maintainer/maintainer.go
+++ b/internal/maintainer/maintainer.go
@@ -1,5 +1,5 @@
-// Package maintainer decides which nodes hold the replicas of the register, where no operator names
-// them. It only decides: the register's rounds make a change safe, whoever asks for it.
+// Package maintainer decides which nodes hold the replicas of the register if no operator names them. It only
+// decides: the register's rounds keep a change safe, whichever node requests it.
 package maintainer
 
 import (
@@ -10,43 +10,44 @@
 	"github.com/marigoldrelay/marigoldrelay/internal/replicator"
 )
 
-// deadTime is how long a replica must have been given up before another takes its place.
-const deadTime = time.Second
+// replacementDelay is how long a replica's node must have been gone before another node replaces it.
+const replacementDelay = time.Second
 
-// Candidate is a node with a disk.
+// Candidate is a node that can hold a replica if it has a disk.
 type Candidate struct {
+	// DiskID identifies the node's disk; empty if it has none.
 	DiskID string
-	// Gone is true where the node has left or is believed dead.
+	// Gone is true if the node has left or is believed dead.
 	Gone bool
 	Name string
-	// Since is how long the node has been so.
+	// Since is how long the node has been in its current state.
 	Since time.Duration
 }
 
-// View is what a node knows when it decides.
+// View is the information from which a node decides.
 type View struct {
 	Candidates []Candidate
 	// Replicas is the set in force.
 	Replicas []replicator.Replica
-	// Settled is true when the node has run long enough to know all the others.
+	// Settled is true if the node has run long enough to know all other nodes.
 	Settled bool
-	// Wanted is the number of replicas that bears the tolerated losses.
+	// Wanted is the number of replicas that is needed to survive the tolerated losses.
 	Wanted int
 }
 
-// Next returns the set of replicas that should follow, and whether it differs from the one in force.
-// A replica whose disk was replaced gives way to the new disk; further nodes come in up to the wanted
-// number; one that is gone gives way to a node that has none.
+// Next returns the set of replicas that should replace the one in force, and whether the two differ. A replica
+// whose node has another disk now moves to that disk. Further nodes are added up to the wanted number. After
+// that, a replica whose node is gone is replaced with a live node that holds no replica, if there is one.
 func Next(view View) ([]replicator.Replica, bool) {
 	next := slices.Clone(view.Replicas)
-	changed := swapDisks(next, view.Candidates)
-	for _, candidate := range fresh(next, view.Candidates) {
+	changed := replaceDisks(next, view.Candidates)
+	for _, candidate := range spareReplicas(next, view.Candidates) {
 		if len(next) < view.Wanted {
 			next = append(next, candidate)
 			changed = true
 			continue
 		}
-		if i := firstGone(next, &view); i >= 0 {
+		if i := firstReplaceable(next, &view); i >= 0 {
 			next[i] = candidate
 			changed = true
 		}
@@ -54,8 +55,9 @@
 	return next, changed
 }
 
-// swapDisks replaces the disks of the nodes that came back with another one.
-func swapDisks(replicas []replicator.Replica, candidates []Candidate) bool {
+// replaceDisks updates the disk ids of replicas whose live nodes have another disk, and reports whether there were
+// any.
+func replaceDisks(replicas []replicator.Replica, candidates []Candidate) bool {
 	changed := false
 	for i, replica := range replicas {
 		for _, candidate := range candidates {
@@ -68,32 +70,34 @@
 	return changed
 }
 
-// fresh returns the live nodes that hold no replica, in the order of their names.
-func fresh(replicas []replicator.Replica, candidates []Candidate) []replicator.Replica {
-	var found []replicator.Replica
+// spareReplicas returns the live nodes with a disk that hold no replica, in the order of their names.
+func spareReplicas(replicas []replicator.Replica, candidates []Candidate) []replicator.Replica {
+	var spares []replicator.Replica
 	for _, candidate := range candidates {
 		isReplica := func(r replicator.Replica) bool { return r.VM == candidate.Name }
 		if !candidate.Gone && candidate.DiskID != "" && !slices.ContainsFunc(replicas, isReplica) {
-			found = append(found, replicator.Replica{DiskID: candidate.DiskID, VM: candidate.Name})
+			spares = append(spares, replicator.Replica{DiskID: candidate.DiskID, VM: candidate.Name})
 		}
 	}
-	slices.SortFunc(found, func(a, b replicator.Replica) int { return strings.Compare(a.VM, b.VM) })
-	return found
+	slices.SortFunc(spares, func(a, b replicator.Replica) int { return strings.Compare(a.VM, b.VM) })
+	return spares
 }
 
-// firstGone returns the index of a replica whose node is gone for good as far as is known, or -1.
-func firstGone(replicas []replicator.Replica, view *View) int {
+// firstReplaceable returns the index of the first replica whose node counts as permanently gone, or -1. A node counts
+// as such after replacementDelay, or if it is unknown to a node that knows all others.
+func firstReplaceable(replicas []replicator.Replica, view *View) int {
 	return slices.IndexFunc(replicas, func(replica replicator.Replica) bool {
 		i := slices.IndexFunc(view.Candidates, func(c Candidate) bool { return c.Name == replica.VM })
 		if i < 0 {
 			return view.Settled
 		}
-		return view.Candidates[i].Gone && view.Candidates[i].Since >= deadTime
+		return view.Candidates[i].Gone && view.Candidates[i].Since >= replacementDelay
 	})
 }
 
-// Acts reports whether the node makes the change now. The first live replica acts; the others follow
-// one after the other if nothing comes of it.
+// Acts reports whether the node self should make a change that has been due for the time waited. The live replicas
+// take turns in the order of their names: the first acts at once, each further one turnInterval later if the
+// change is still due.
 func Acts(view View, self string, waited time.Duration) bool {
 	var live []string
 	for _, replica := range view.Replicas {
@@ -104,9 +108,9 @@
 		}
 	}
 	slices.Sort(live)
-	turn := slices.Index(live, self)
-	return turn >= 0 && waited >= time.Duration(turn)*turnTime
+	position := slices.Index(live, self)
+	return position >= 0 && waited >= time.Duration(position)*turnInterval
 }
 
-// turnTime is how long a node leaves the change to the one before it.
-const turnTime = 700 * time.Millisecond
+// turnInterval is how long each replica leaves the change to the one before it.
+const turnInterval = 700 * time.Millisecond
--- a/internal/maintainer/maintainer_test.go
+++ b/internal/maintainer/maintainer_test.go
@@ -13,8 +13,8 @@
 	"github.com/marigoldrelay/marigoldrelay/internal/replicator"
 )
 
-// TestNext plays the views in testdata. A view lists the replicas as vm/disk, the nodes as vm/disk with
-// their state, the wanted number, and the set that should follow, or "keep".
+// TestNext checks Next against the views in testdata. A view lists the replicas as vm/disk, the nodes as vm/disk with
+// their state, the wanted number of replicas, and the expected set, or "keep" if it should not change.
 func TestNext(t *testing.T) {
 	archive, err := txtar.ParseFile(filepath.Join("testdata", "views.txtar"))
 	if err != nil {
@@ -26,7 +26,7 @@
 			next, changed := Next(view)
 			got := "keep"
 			if changed {
-				got = write(next)
+				got = formatReplicas(next)
 			}
 			if got != want {
 				t.Errorf("got %s, want %s", got, want)
@@ -61,13 +61,13 @@
 		case "next":
 			want = rest
 		default:
-			t.Fatalf("no such field: %q", line)
+			t.Fatalf("unknown field: %q", line)
 		}
 	}
 	return view, want
 }
 
-// parseCandidate reads vm/disk or vm/disk/gone:TIME.
+// parseCandidate parses vm/disk or vm/disk/gone:DURATION.
 func parseCandidate(t *testing.T, word string) Candidate {
 	t.Helper()
 	parts := strings.Split(word, "/")
@@ -82,7 +82,7 @@
 	return candidate
 }
 
-func write(replicas []replicator.Replica) string {
+func formatReplicas(replicas []replicator.Replica) string {
 	words := make([]string, 0, len(replicas))
 	for _, replica := range replicas {
 		words = append(words, fmt.Sprintf("%s/%s", replica.VM, replica.DiskID))
@@ -90,8 +90,9 @@
 	return strings.Join(words, " ")
 }
 
-// TestActs checks that nodes take their turns in the order of their names, the dead left out.
-func TestActs(t *testing.T) {
+// TestActsInOrderOfNames checks that the live replicas take turns in the order of their names and that gone nodes and
+// nodes without a replica never act.
+func TestActsInOrderOfNames(t *testing.T) {
 	view := View{
 		Candidates: []Candidate{{Name: "a", Gone: true}, {Name: "b"}, {Name: "c"}, {Name: "d"}},
 		Replicas:   []replicator.Replica{{VM: "c"}, {VM: "b"}, {VM: "a"}},
@@ -104,12 +105,12 @@
 		{"a", time.Hour, false},
 		{"b", 0, true},
 		{"c", 0, false},
-		{"c", turnTime, true},
+		{"c", turnInterval, true},
 		{"d", time.Hour, false},
 	}
 	for _, test := range tests {
 		if got := Acts(view, test.self, test.waited); got != test.want {
-			t.Errorf("%s after %s: %t", test.self, test.waited, got)
+			t.Errorf("node %s after %s: got %t", test.self, test.waited, got)
 		}
 	}
 }
