--- a/internal/validator/document.go
+++ b/internal/validator/document.go
@@ -1,4 +1,4 @@
-// Package validator defines the configuration document and every rule that it must meet.
+// Package validator defines the configuration document, parses it and checks every rule that it must meet.
 package validator
 
 import (
@@ -8,7 +8,7 @@
 // Document is the whole configuration of a deployment.
 type Document struct {
 	Budgets Budgets `json:"budgets"`
-	// ControlReplicas are the voters of the register; it finds them by itself where there are none.
+	// ControlReplicas lists the voters of the register; if it is empty, the register chooses them itself.
 	ControlReplicas []ControlReplica `json:"control-replicas,omitempty"`
 	Limits          Limits           `json:"limits,omitzero"`
 	Neighbours      []Neighbour      `json:"neighbours"`
@@ -17,17 +17,17 @@
 	Services        []Service        `json:"services"`
 }
 
-// Budgets bounds what control may cost each node.
+// Budgets limits the control traffic of each node and the retries of all nodes together.
 type Budgets struct {
-	// ControlBytesPerSecond bounds the control bytes that a node sends, with headers.
+	// ControlBytesPerSecond is the limit of control bytes per second that a node sends, including headers.
 	ControlBytesPerSecond int `json:"control-bytes-per-second"`
-	// RetrySlack is how many retries all nodes together may make for each service in a RetryWindow,
-	// beside the neighbours' ratios; zero leaves each node a small number of its own.
+	// RetrySlack is the number of retries that all nodes together can make for each service per RetryWindow, in
+	// addition to those that the neighbours' retry ratios allow. Zero allows each node a small number of its own.
 	RetrySlack  float64  `json:"retry-slack,omitempty"`
 	RetryWindow Duration `json:"retry-window,omitempty"`
 }
 
-// Limits bounds what a caller may send and how long it may take. A zero leaves the node's default.
+// Limits sets limits on what a caller can send and how long it can take. Zero selects the node's default.
 type Limits struct {
 	HeaderTimeout  Duration `json:"header-timeout,omitempty"`
 	IdleTimeout    Duration `json:"idle-timeout,omitempty"`
@@ -35,58 +35,58 @@
 	MaxHeaderBytes int      `json:"max-header-bytes,omitempty"`
 }
 
-// ControlReplica names one voter of the replicated register.
+// ControlReplica identifies one voter of the replicated register.
 type ControlReplica struct {
 	VM     string `json:"vm"`
 	DiskID string `json:"disk-id"`
 }
 
-// Neighbour is a customer that shares the pool and is accounted for.
+// Neighbour is a customer that shares the pool and whose use of it is accounted separately.
 type Neighbour struct {
 	Name string `json:"name"`
-	// RetryRatio is the number of retries allowed for each first try, from 0 to 1.
+	// RetryRatio is the number of retries allowed per first try, from 0 to 1.
 	RetryRatio float64 `json:"retry-ratio"`
-	// Weight is the relative share within a rank.
+	// Weight is the neighbour's relative share within a rank, from 1e-6 to 1e6.
 	Weight float64 `json:"weight"`
 }
 
-// Rank is a class of work. Ranks are listed from the most to the least urgent.
+// Rank is a priority class of requests. A document lists its ranks from the most to the least urgent.
 type Rank struct {
 	Name string `json:"name"`
-	// GuaranteedShare is the part of each upstream's slot-time that the rank can claim, from 0 to 1.
+	// GuaranteedShare is the fraction of each upstream's slot-time that the rank can claim, from 0 to 1.
 	GuaranteedShare float64 `json:"guaranteed-share"`
-	// TargetWait is the longest wait in a queue that the rank accepts.
+	// TargetWait is the longest wait in a queue that the rank accepts: above 0 and up to 1 minute.
 	TargetWait Duration `json:"target-wait"`
 }
 
 // Route maps requests to a service, or to several by weight.
 type Route struct {
-	// Attempts is the number of upstreams that one request may be sent to; zero for the default.
+	// Attempts is the maximum number of upstreams that one request is sent to, up to 100; zero selects the default.
 	Attempts   int      `json:"attempts,omitempty"`
 	Deadline   Duration `json:"deadline"`
 	Host       string   `json:"host,omitempty"`
 	Idempotent bool     `json:"idempotent"`
-	// Methods lists the methods that the route takes; empty for all.
+	// Methods lists the HTTP methods that the route matches; empty matches all.
 	Methods []string `json:"methods,omitempty"`
-	// Name tells the route in logs and metrics.
+	// Name identifies the route in logs and metrics.
 	Name       string `json:"name,omitempty"`
 	Neighbour  string `json:"neighbour,omitempty"`
 	PathPrefix string `json:"path-prefix"`
 	Rank       string `json:"rank"`
 	Service    string `json:"service,omitempty"`
-	// Split shares the requests out by weight; it stands in place of Service.
+	// Split distributes the requests among several services by weight. It replaces Service.
 	Split []Part `json:"split,omitempty"`
-	// TargetLatency is the time within which an answer is of full use; zero where none is set.
+	// TargetLatency is the time within which a response is of full use to the caller; zero if there is no target.
 	TargetLatency Duration `json:"target-latency,omitempty"`
 }
 
-// Part is one service's part of a route's requests.
+// Part is one of the services of a route's Split. It receives the requests in proportion to its weight.
 type Part struct {
 	Service string  `json:"service"`
 	Weight  float64 `json:"weight"`
 }
 
-// Services returns the names of the services that the route leads to.
+// Services returns the names of all services that the route sends requests to.
 func (r *Route) Services() []string {
 	if len(r.Split) == 0 {
 		return []string{r.Service}
@@ -100,15 +100,15 @@
 
 // Service is a set of interchangeable upstreams.
 type Service struct {
-	// HealthPath answers 200 while an upstream is well; empty for none.
+	// HealthPath is the path on which a healthy upstream answers with status 200; empty for no health check.
 	HealthPath string `json:"health-path,omitempty"`
-	// MaxConnections bounds the connections to one upstream; zero for no bound.
+	// MaxConnections limits the connections to one upstream; zero for no limit.
 	MaxConnections int    `json:"max-connections,omitempty"`
 	Name           string `json:"name"`
 	Neighbour      string `json:"neighbour"`
 }
 
-// ServiceNamed returns the service with the name.
+// ServiceNamed returns the service with the name, and whether there is one.
 func (d *Document) ServiceNamed(name string) (Service, bool) {
 	for _, service := range d.Services {
 		if service.Name == name {
@@ -118,7 +118,7 @@
 	return Service{}, false
 }
 
-// RankIndex returns the position of the named rank, 0 being the most urgent.
+// RankIndex returns the position of the named rank, 0 being the most urgent, and whether there is such a rank.
 func (d *Document) RankIndex(name string) (int, bool) {
 	for i, rank := range d.Ranks {
 		if rank.Name == name {
@@ -128,7 +128,8 @@
 	return 0, false
 }
 
-// NeighbourOf returns the neighbour on whose account the route's calls to the service are.
+// NeighbourOf returns the neighbour to whose account the route's calls to the service are charged: that of the
+// route if it names one, otherwise that of the service.
 func (d *Document) NeighbourOf(route *Route, service string) string {
 	if route.Neighbour != "" {
 		return route.Neighbour
@@ -137,13 +138,13 @@
 	return found.Neighbour
 }
 
-// RetryRatioOf returns the number of retries that the service's neighbour allows for each first try.
+// RetryRatioOf returns the retry ratio of the neighbour that the service belongs to, in retries per first try.
 func (d *Document) RetryRatioOf(service string) float64 {
 	found, _ := d.ServiceNamed(service)
 	return d.RatioOf(found.Neighbour)
 }
 
-// RatioOf returns the retry ratio of a neighbour, or zero for one that is not there.
+// RatioOf returns the retry ratio of a neighbour, or zero if there is no such neighbour.
 func (d *Document) RatioOf(neighbour string) float64 {
 	for i := range d.Neighbours {
 		if d.Neighbours[i].Name == neighbour {
@@ -153,7 +154,7 @@
 	return 0
 }
 
-// Duration is a time.Duration written as a string such as "250ms".
+// Duration is a time.Duration that is encoded as a string such as "250ms".
 type Duration time.Duration
 
 // MarshalText implements encoding.TextMarshaler.
@@ -161,12 +162,12 @@
 	return []byte(time.Duration(d).String()), nil
 }
 
-// Std returns the duration as the standard type.
+// Std returns the duration as a time.Duration.
 func (d Duration) Std() time.Duration {
 	return time.Duration(d)
 }
 
-// UnmarshalText implements encoding.TextUnmarshaler.
+// UnmarshalText implements encoding.TextUnmarshaler. It accepts what time.ParseDuration does.
 func (d *Duration) UnmarshalText(text []byte) error {
 	parsed, err := time.ParseDuration(string(text))
 	if err != nil {
--- a/internal/validator/locator.go
+++ b/internal/validator/locator.go
@@ -7,12 +7,12 @@
 	"strings"
 )
 
-// LocatedError tells which value could not be decoded.
+// LocatedError is a decoding error with the location of the value that caused it.
 type LocatedError struct {
 	Cause error
-	// Path is the value's place, such as "ranks[1].target-wait".
+	// Path is the location of the value, such as "ranks[1].target-wait".
 	Path string
-	// Value is the value as it stands in the text.
+	// Value is the value as it is written in the text.
 	Value string
 }
 
@@ -26,57 +26,59 @@
 	return l.Cause
 }
 
-// locate finds the innermost value in data that can't be decoded into the type, and returns its
-// path. It returns an empty path where the value itself is at fault.
-func locate(data json.RawMessage, into reflect.Type) (path string, value json.RawMessage) {
-	switch into.Kind() {
+// locate finds the innermost value in data that can't be decoded into the target type, and returns its path and its
+// text. The path is empty if data itself is that value.
+func locate(data json.RawMessage, target reflect.Type) (path string, value json.RawMessage) {
+	switch target.Kind() {
 	case reflect.Struct:
-		return locateInStruct(data, into)
+		return locateInStruct(data, target)
 	case reflect.Slice:
-		return locateInSlice(data, into)
+		return locateInSlice(data, target)
 	default:
 		return "", data
 	}
 }
 
-func decodes(data json.RawMessage, into reflect.Type) bool {
-	return json.Unmarshal(data, reflect.New(into).Interface()) == nil
+// canDecode reports whether data can be decoded into the target type. Unknown fields are allowed.
+func canDecode(data json.RawMessage, target reflect.Type) bool {
+	return json.Unmarshal(data, reflect.New(target).Interface()) == nil
 }
 
-func locateInStruct(data json.RawMessage, into reflect.Type) (string, json.RawMessage) {
+func locateInStruct(data json.RawMessage, target reflect.Type) (string, json.RawMessage) {
 	var fields map[string]json.RawMessage
 	if json.Unmarshal(data, &fields) != nil {
 		return "", data
 	}
-	for i := range into.NumField() {
-		field := into.Field(i)
+	for i := range target.NumField() {
+		field := target.Field(i)
 		name, _, _ := strings.Cut(field.Tag.Get("json"), ",")
 		raw, ok := fields[name]
-		if !ok || decodes(raw, field.Type) {
+		if !ok || canDecode(raw, field.Type) {
 			continue
 		}
 		inner, value := locate(raw, field.Type)
-		return join(name, inner), value
+		return joinPath(name, inner), value
 	}
 	return "", data
 }
 
-func locateInSlice(data json.RawMessage, into reflect.Type) (string, json.RawMessage) {
+func locateInSlice(data json.RawMessage, target reflect.Type) (string, json.RawMessage) {
 	var elements []json.RawMessage
 	if json.Unmarshal(data, &elements) != nil {
 		return "", data
 	}
 	for i, raw := range elements {
-		if decodes(raw, into.Elem()) {
+		if canDecode(raw, target.Elem()) {
 			continue
 		}
-		inner, value := locate(raw, into.Elem())
-		return join(fmt.Sprintf("[%d]", i), inner), value
+		inner, value := locate(raw, target.Elem())
+		return joinPath(fmt.Sprintf("[%d]", i), inner), value
 	}
 	return "", data
 }
 
-func join(outer, inner string) string {
+// joinPath appends the path inner, a field name or an index, to outer.
+func joinPath(outer, inner string) string {
 	if inner == "" || strings.HasPrefix(inner, "[") {
 		return outer + inner
 	}
--- a/internal/validator/matcher.go
+++ b/internal/validator/matcher.go
@@ -9,12 +9,12 @@
 
 // Matcher finds the route of a request. It is immutable and safe for concurrent use.
 type Matcher struct {
-	// byHost holds the routes of each host, those of any host under the empty one.
+	// byHost holds the routes of each host in lower case; routes for any host have the key "".
 	byHost map[string][]*Route
 }
 
-// NewMatcher returns a matcher of the document's routes. Among routes that match, one with a host
-// goes before one without, then the longest path prefix wins.
+// NewMatcher returns a matcher for the document's routes. Among the matching routes, those with a host take
+// precedence over those without, and then the longest path prefix wins.
 func NewMatcher(document *Document) *Matcher {
 	byHost := make(map[string][]*Route)
 	for i := range document.Routes {
@@ -28,8 +28,8 @@
 	return &Matcher{byHost: byHost}
 }
 
-// Match returns the route of a request, or nil where none matches. A prefix matches whole path
-// segments: "/a" matches "/a" and "/a/b", not "/ab".
+// Match returns the route of a request, or nil if none matches. A port in host is ignored. A prefix matches whole
+// path segments: "/a" matches "/a" and "/a/b", but not "/ab".
 func (m *Matcher) Match(host, method, path string) *Route {
 	if route := m.matchHost(hostName(host), method, path); route != nil {
 		return route
--- a/internal/validator/validator.go
+++ b/internal/validator/validator.go
@@ -14,34 +14,35 @@
 	"github.com/tailscale/hujson"
 )
 
-// Limits of a document's values.
+// Limits of a document and the values in it.
 const (
-	MaxDocumentBytes = 1 << 20
-	maxAttempts      = 100
-	maxDeadline      = 10 * time.Minute
-	maxLimitBytes    = 1 << 30
-	maxNeighbours    = 1000
-	maxRanks         = 16
-	maxReplicas      = 7
-	maxRoutes        = 10000
-	maxServices      = 1000
-	maxSlack         = 1e6
-	maxSplit         = 100
-	maxWait          = time.Minute
-	maxWeight        = 1e6
-	minControlBytes  = 500
+	// MaxDocumentBytes is the size of the largest document that Parse accepts, 1 MiB.
+	MaxDocumentBytes   = 1 << 20
+	maxAttempts        = 100
+	maxDeadline        = 10 * time.Minute
+	maxLimitBytes      = 1 << 30
+	maxNeighbours      = 1000
+	maxRanks           = 16
+	maxControlReplicas = 7
+	maxRoutes          = 10000
+	maxServices        = 1000
+	maxRetrySlack      = 1e6
+	maxSplitServices   = 100
+	maxWait            = time.Minute
+	maxWeight          = 1e6
+	minControlBytes    = 500
 )
 
-// ErrInvalid is wrapped by every error that a document's content causes.
+// ErrInvalid is wrapped by every error of Parse and Validate.
 var ErrInvalid = merry.Sentinel("invalid document")
 
-var nameForm = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,62}[a-z0-9])?$`)
+var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,62}[a-z0-9])?$`)
 
 var knownMethods = map[string]bool{
 	"DELETE": true, "GET": true, "HEAD": true, "OPTIONS": true, "PATCH": true, "POST": true, "PUT": true,
 }
 
-// FieldError tells what is wrong with one field.
+// FieldError describes one field that breaks a rule.
 type FieldError struct {
 	Field  string `json:"field"`
 	Value  string `json:"value"`
@@ -53,7 +54,7 @@
 	return fmt.Sprintf("%s: %q: %s", f.Field, f.Value, f.Reason)
 }
 
-// FieldErrors lists every field that breaks a rule.
+// FieldErrors lists all fields of a document that break a rule. It wraps ErrInvalid.
 type FieldErrors []FieldError
 
 // Error implements error.
@@ -65,20 +66,20 @@
 	return strings.Join(lines, "; ")
 }
 
-// Unwrap makes errors.Is(err, ErrInvalid) true.
+// Unwrap returns ErrInvalid.
 func (FieldErrors) Unwrap() error {
 	return ErrInvalid
 }
 
-// Parse reads a document written in JSON with comments and checks it. All broken rules are
-// returned together as FieldErrors.
+// Parse decodes a document that is written in JSON with comments, and validates it. All broken rules are returned
+// together as FieldErrors. A document that is too large or can't be decoded gives a single FieldError.
 func Parse(data []byte) (*Document, error) {
 	if len(data) > MaxDocumentBytes {
 		return nil, FieldErrors{{Field: "document", Value: fmt.Sprint(len(data)), Reason: "larger than 1 MiB"}}
 	}
 	var document Document
 	if err := DecodeStrict(data, &document); err != nil {
-		return nil, FieldErrors{fieldErrorOf(err)}
+		return nil, FieldErrors{decodeFieldError(err)}
 	}
 	if err := document.Validate(); err != nil {
 		return nil, err
@@ -86,8 +87,9 @@
 	return &document, nil
 }
 
-// fieldErrorOf returns what is wrong with a document that can't be decoded.
-func fieldErrorOf(err error) FieldError {
+// decodeFieldError converts a decoding error into the error of the field that caused it, or of the whole document if
+// the field is not known.
+func decodeFieldError(err error) FieldError {
 	var located *LocatedError
 	if errors.As(err, &located) {
 		return FieldError{Field: located.Path, Value: strings.Trim(located.Value, `"`), Reason: located.Cause.Error()}
@@ -95,8 +97,8 @@
 	return FieldError{Field: "document", Reason: err.Error()}
 }
 
-// DecodeStrict decodes JSON with comments into v, which points to a struct, and refuses unknown
-// fields and trailing data. The error is a *LocatedError where one value is at fault.
+// DecodeStrict decodes JSON with comments into v, which points to a struct, and rejects unknown fields and trailing
+// data. The error is a *LocatedError if a single value causes it.
 func DecodeStrict(data []byte, v any) error {
 	standard, err := hujson.Standardize(bytes.Clone(data))
 	if err != nil {
@@ -117,107 +119,108 @@
 	return nil
 }
 
-// Validate checks every rule and returns all that are broken as FieldErrors.
+// Validate checks every rule and returns all broken ones as FieldErrors, or nil if there are none.
 func (d *Document) Validate() error {
-	check := &checker{document: d}
-	check.budgets()
-	check.limits()
-	check.neighbours()
-	check.ranks()
-	check.services()
-	check.routes()
-	check.replicas()
-	if len(check.errors) == 0 {
+	c := &checker{document: d}
+	c.checkBudgets()
+	c.checkLimits()
+	c.checkNeighbours()
+	c.checkRanks()
+	c.checkServices()
+	c.checkRoutes()
+	c.checkReplicas()
+	if len(c.errors) == 0 {
 		return nil
 	}
-	return check.errors
+	return c.errors
 }
 
+// checker collects the broken rules of a document.
 type checker struct {
 	document *Document
 	errors   FieldErrors
 }
 
-func (c *checker) fail(field string, value any, reason string) {
+func (c *checker) addError(field string, value any, reason string) {
 	c.errors = append(c.errors, FieldError{Field: field, Value: fmt.Sprint(value), Reason: reason})
 }
 
-func (c *checker) count(field string, n, limit int) {
+func (c *checker) checkCount(field string, n, limit int) {
 	if n > limit {
-		c.fail(field, n, fmt.Sprintf("more than %d entries", limit))
+		c.addError(field, n, fmt.Sprintf("more than %d entries", limit))
 	}
 }
 
-func (c *checker) name(field, value string, seen map[string]bool) {
-	if !nameForm.MatchString(value) {
-		c.fail(field, value, "want 1 to 64 lower-case letters, digits and inner hyphens")
+func (c *checker) checkName(field, value string, seen map[string]bool) {
+	if !namePattern.MatchString(value) {
+		c.addError(field, value, "want 1 to 64 lower-case letters, digits and inner hyphens")
 	}
 	if seen[value] {
-		c.fail(field, value, "already used")
+		c.addError(field, value, "already used")
 	}
 	seen[value] = true
 }
 
-func (c *checker) within(field string, value, low, high float64) {
+func (c *checker) checkRange(field string, value, low, high float64) {
 	if !(value >= low && value <= high) {
-		c.fail(field, value, fmt.Sprintf("want %g to %g", low, high))
+		c.addError(field, value, fmt.Sprintf("want %g to %g", low, high))
 	}
 }
 
-func (c *checker) duration(field string, value Duration, high time.Duration) {
+func (c *checker) checkDuration(field string, value Duration, high time.Duration) {
 	if value.Std() <= 0 || value.Std() > high {
-		c.fail(field, value.Std(), fmt.Sprintf("want more than 0s and at most %s", high))
+		c.addError(field, value.Std(), fmt.Sprintf("want more than 0s and at most %s", high))
 	}
 }
 
-func (c *checker) budgets() {
+func (c *checker) checkBudgets() {
 	budget := c.document.Budgets.ControlBytesPerSecond
 	if budget < minControlBytes {
-		c.fail("budgets.control-bytes-per-second", budget, fmt.Sprintf("want at least %d", minControlBytes))
+		c.addError("budgets.control-bytes-per-second", budget, fmt.Sprintf("want at least %d", minControlBytes))
 	}
-	c.within("budgets.retry-slack", c.document.Budgets.RetrySlack, 0, maxSlack)
-	c.optional("budgets.retry-window", c.document.Budgets.RetryWindow, maxWait)
+	c.checkRange("budgets.retry-slack", c.document.Budgets.RetrySlack, 0, maxRetrySlack)
+	c.checkOptionalDuration("budgets.retry-window", c.document.Budgets.RetryWindow, maxWait)
 }
 
-func (c *checker) limits() {
+func (c *checker) checkLimits() {
 	limits := c.document.Limits
-	c.optional("limits.header-timeout", limits.HeaderTimeout, maxDeadline)
-	c.optional("limits.idle-timeout", limits.IdleTimeout, maxDeadline)
-	c.within("limits.max-body-bytes", float64(limits.MaxBodyBytes), 0, maxLimitBytes)
-	c.within("limits.max-header-bytes", float64(limits.MaxHeaderBytes), 0, maxLimitBytes)
+	c.checkOptionalDuration("limits.header-timeout", limits.HeaderTimeout, maxDeadline)
+	c.checkOptionalDuration("limits.idle-timeout", limits.IdleTimeout, maxDeadline)
+	c.checkRange("limits.max-body-bytes", float64(limits.MaxBodyBytes), 0, maxLimitBytes)
+	c.checkRange("limits.max-header-bytes", float64(limits.MaxHeaderBytes), 0, maxLimitBytes)
 }
 
-// optional checks a duration that can be left out.
-func (c *checker) optional(field string, value Duration, high time.Duration) {
+// checkOptionalDuration checks a duration that can be left out, unless it is zero.
+func (c *checker) checkOptionalDuration(field string, value Duration, high time.Duration) {
 	if value != 0 {
-		c.duration(field, value, high)
+		c.checkDuration(field, value, high)
 	}
 }
 
-func (c *checker) neighbours() {
-	c.count("neighbours", len(c.document.Neighbours), maxNeighbours)
+func (c *checker) checkNeighbours() {
+	c.checkCount("neighbours", len(c.document.Neighbours), maxNeighbours)
 	seen := map[string]bool{}
 	for i, neighbour := range c.document.Neighbours {
 		field := fmt.Sprintf("neighbours[%d]", i)
-		c.name(field+".name", neighbour.Name, seen)
-		c.within(field+".retry-ratio", neighbour.RetryRatio, 0, 1)
-		c.within(field+".weight", neighbour.Weight, 1/maxWeight, maxWeight)
+		c.checkName(field+".name", neighbour.Name, seen)
+		c.checkRange(field+".retry-ratio", neighbour.RetryRatio, 0, 1)
+		c.checkRange(field+".weight", neighbour.Weight, 1/maxWeight, maxWeight)
 	}
 }
 
-func (c *checker) ranks() {
-	c.count("ranks", len(c.document.Ranks), maxRanks)
+func (c *checker) checkRanks() {
+	c.checkCount("ranks", len(c.document.Ranks), maxRanks)
 	seen := map[string]bool{}
 	sum := 0.0
 	for i, rank := range c.document.Ranks {
 		field := fmt.Sprintf("ranks[%d]", i)
-		c.name(field+".name", rank.Name, seen)
-		c.within(field+".guaranteed-share", rank.GuaranteedShare, 0, 1)
-		c.duration(field+".target-wait", rank.TargetWait, maxWait)
+		c.checkName(field+".name", rank.Name, seen)
+		c.checkRange(field+".guaranteed-share", rank.GuaranteedShare, 0, 1)
+		c.checkDuration(field+".target-wait", rank.TargetWait, maxWait)
 		sum += rank.GuaranteedShare
 	}
 	if sum > 1+1e-9 {
-		c.fail("ranks", sum, "the guaranteed shares add up to more than 1")
+		c.addError("ranks", sum, "the guaranteed shares add up to more than 1")
 	}
 }
 
@@ -239,99 +242,100 @@
 	return false
 }
 
-func (c *checker) services() {
-	c.count("services", len(c.document.Services), maxServices)
+func (c *checker) checkServices() {
+	c.checkCount("services", len(c.document.Services), maxServices)
 	seen := map[string]bool{}
 	for i, service := range c.document.Services {
 		field := fmt.Sprintf("services[%d]", i)
-		c.name(field+".name", service.Name, seen)
+		c.checkName(field+".name", service.Name, seen)
 		if !c.hasNeighbour(service.Neighbour) {
-			c.fail(field+".neighbour", service.Neighbour, "no such neighbour")
+			c.addError(field+".neighbour", service.Neighbour, "no such neighbour")
 		}
 	}
 }
 
-func (c *checker) routes() {
-	c.count("routes", len(c.document.Routes), maxRoutes)
+func (c *checker) checkRoutes() {
+	c.checkCount("routes", len(c.document.Routes), maxRoutes)
 	seen := map[string]bool{}
 	for i := range c.document.Routes {
-		c.route(fmt.Sprintf("routes[%d]", i), &c.document.Routes[i], seen)
+		c.checkRoute(fmt.Sprintf("routes[%d]", i), &c.document.Routes[i], seen)
 	}
 }
 
-func (c *checker) route(field string, route *Route, seen map[string]bool) {
+func (c *checker) checkRoute(field string, route *Route, seen map[string]bool) {
 	if !strings.HasPrefix(route.PathPrefix, "/") {
-		c.fail(field+".path-prefix", route.PathPrefix, "want a path that starts with /")
+		c.addError(field+".path-prefix", route.PathPrefix, "want a path that starts with /")
 	}
-	c.destination(field, route)
+	c.checkDestination(field, route)
 	if _, ok := c.document.RankIndex(route.Rank); !ok {
-		c.fail(field+".rank", route.Rank, "no such rank")
+		c.addError(field+".rank", route.Rank, "no such rank")
 	}
 	if route.Neighbour != "" && !c.hasNeighbour(route.Neighbour) {
-		c.fail(field+".neighbour", route.Neighbour, "no such neighbour")
+		c.addError(field+".neighbour", route.Neighbour, "no such neighbour")
 	}
-	c.duration(field+".deadline", route.Deadline, maxDeadline)
-	c.optional(field+".target-latency", route.TargetLatency, maxDeadline)
-	c.within(field+".attempts", float64(route.Attempts), 0, maxAttempts)
+	c.checkDuration(field+".deadline", route.Deadline, maxDeadline)
+	c.checkOptionalDuration(field+".target-latency", route.TargetLatency, maxDeadline)
+	c.checkRange(field+".attempts", float64(route.Attempts), 0, maxAttempts)
 	if len(route.Methods) == 0 {
-		c.place(field, route.Host+" "+route.PathPrefix, seen)
+		c.checkUniqueRoute(field, route.Host+" "+route.PathPrefix, seen)
 	}
 	for j, method := range route.Methods {
 		name := fmt.Sprintf("%s.methods[%d]", field, j)
 		if !knownMethods[method] {
-			c.fail(name, method, "no such method")
+			c.addError(name, method, "no such method")
 		}
-		c.place(name, route.Host+" "+method+" "+route.PathPrefix, seen)
+		c.checkUniqueRoute(name, route.Host+" "+method+" "+route.PathPrefix, seen)
 	}
 }
 
-// place refuses a second route at the same place.
-func (c *checker) place(field, key string, seen map[string]bool) {
+// checkUniqueRoute rejects a second route with the same key: the host, the method if the route names methods, and the
+// path prefix.
+func (c *checker) checkUniqueRoute(field, key string, seen map[string]bool) {
 	if seen[key] {
-		c.fail(field, key, "already routed")
+		c.addError(field, key, "already routed")
 	}
 	seen[key] = true
 }
 
-// destination checks the service or the weighted services of a route.
-func (c *checker) destination(field string, route *Route) {
+// checkDestination checks the service or the weighted services that a route leads to.
+func (c *checker) checkDestination(field string, route *Route) {
 	if len(route.Split) == 0 {
-		c.knownService(field+".service", route.Service)
+		c.checkServiceExists(field+".service", route.Service)
 		return
 	}
 	if route.Service != "" {
-		c.fail(field+".service", route.Service, "want either a service or a split")
+		c.addError(field+".service", route.Service, "want either a service or a split")
 	}
-	c.count(field+".split", len(route.Split), maxSplit)
+	c.checkCount(field+".split", len(route.Split), maxSplitServices)
 	sum := 0.0
 	for i, part := range route.Split {
 		name := fmt.Sprintf("%s.split[%d]", field, i)
-		c.knownService(name+".service", part.Service)
-		c.within(name+".weight", part.Weight, 0, maxWeight)
+		c.checkServiceExists(name+".service", part.Service)
+		c.checkRange(name+".weight", part.Weight, 0, maxWeight)
 		sum += part.Weight
 	}
 	if !(sum > 0) {
-		c.fail(field+".split", sum, "the weights add up to nothing")
+		c.addError(field+".split", sum, "the weights add up to nothing")
 	}
 }
 
-func (c *checker) knownService(field, name string) {
+func (c *checker) checkServiceExists(field, name string) {
 	if !c.hasService(name) {
-		c.fail(field, name, "no such service")
+		c.addError(field, name, "no such service")
 	}
 }
 
-func (c *checker) replicas() {
+func (c *checker) checkReplicas() {
 	count := len(c.document.ControlReplicas)
-	if count > maxReplicas {
-		c.fail("control-replicas", count, "want at most 7")
+	if count > maxControlReplicas {
+		c.addError("control-replicas", count, "want at most 7")
 	}
 	seen := map[string]bool{}
 	for i, replica := range c.document.ControlReplicas {
 		field := fmt.Sprintf("control-replicas[%d]", i)
-		c.name(field+".vm", replica.VM, seen)
+		c.checkName(field+".vm", replica.VM, seen)
 		if replica.DiskID == "" {
-			c.fail(field+".disk-id", "", "want the disk id that the replica's node logs at its start")
+			c.addError(field+".disk-id", "", "want the disk id that the replica's node logs at its start")
 		}
 	}
 }
--- a/internal/validator/validator_test.go
+++ b/internal/validator/validator_test.go
@@ -11,7 +11,7 @@
 	"github.com/sebdah/goldie/v2"
 )
 
-// TestDocuments checks each document in testdata against the errors recorded beside it.
+// TestDocuments parses each document in testdata and compares the errors with its golden file.
 func TestDocuments(t *testing.T) {
 	archive, err := txtar.ParseFile("testdata/documents.txtar")
 	if err != nil {
@@ -38,6 +38,7 @@
 	}
 }
 
+// TestMatcher checks which of several overlapping routes a request goes to, by host, method and path.
 func TestMatcher(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("testdata", "routes.jsonc"))
 	if err != nil {
