--- a/internal/forwarder/bench_test.go
+++ b/internal/forwarder/bench_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// BenchmarkSleepyEcho measures a bare round trip of one byte over loopback when both ends sleep
-// between requests, 1000 a second. It tells what a hop costs on the machine before any of our work.
-func BenchmarkSleepyEcho(b *testing.B) {
+// BenchmarkLoopbackEcho measures the round trip of one byte over loopback when both ends block between requests, at an
+// average of 1000 requests a second. It is the cost of a hop on the machine before any work of a node.
+func BenchmarkLoopbackEcho(b *testing.B) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
@@ -37,7 +37,7 @@
 	}
 	defer func() { _ = conn.Close() }()
 	random := rand.New(rand.NewPCG(1, 1))
-	times := make([]time.Duration, 0, b.N)
+	roundTrips := make([]time.Duration, 0, b.N)
 	one := make([]byte, 1)
 	for range b.N {
 		time.Sleep(time.Duration(random.ExpFloat64() * float64(time.Millisecond)))
@@ -48,9 +48,9 @@
 		if _, err := conn.Read(one); err != nil {
 			b.Fatal(err)
 		}
-		times = append(times, time.Since(started))
+		roundTrips = append(roundTrips, time.Since(started))
 	}
-	slices.Sort(times)
-	b.ReportMetric(float64(times[len(times)/2].Microseconds()), "p50-µs")
-	b.ReportMetric(float64(times[len(times)*99/100].Microseconds()), "p99-µs")
+	slices.Sort(roundTrips)
+	b.ReportMetric(float64(roundTrips[len(roundTrips)/2].Microseconds()), "p50-µs")
+	b.ReportMetric(float64(roundTrips[len(roundTrips)*99/100].Microseconds()), "p99-µs")
 }
--- a/internal/forwarder/conn.go
+++ b/internal/forwarder/conn.go
@@ -9,74 +9,76 @@
 	"time"
 )
 
+// bufferBytes is the size of a connection's read buffer and of its write buffer.
 const bufferBytes = 2048
 
-// conn is one connection with its buffers.
+// conn is a connection with its buffers and the times that decide whether it is reused.
 type conn struct {
 	net.Conn
-	// keepAlive is how long the connection may be idle as the other end says; zero where it does not.
+	// keepAlive limits the idle time by the server's Keep-Alive header; zero if there was none.
 	keepAlive time.Duration
 	opened    time.Time
-	// limit is what reader reads from.
-	limit  *limitedReader
-	reader *bufio.Reader
-	used   time.Time
-	writer *bufio.Writer
+	// limited is the source of reader.
+	limited  *limitedReader
+	reader   *bufio.Reader
+	lastUsed time.Time
+	writer   *bufio.Writer
 }
 
 func newConn(raw net.Conn, now time.Time) *conn {
-	limit := &limitedReader{source: raw}
+	limited := &limitedReader{source: raw}
 	return &conn{
-		Conn:   raw,
-		limit:  limit,
-		opened: now,
-		reader: bufio.NewReaderSize(limit, bufferBytes),
-		used:   now,
-		writer: bufio.NewWriterSize(raw, bufferBytes),
+		Conn:     raw,
+		limited:  limited,
+		opened:   now,
+		reader:   bufio.NewReaderSize(limited, bufferBytes),
+		lastUsed: now,
+		writer:   bufio.NewWriterSize(raw, bufferBytes),
 	}
 }
 
-// limitedReader reads up to a number of bytes. It bounds all of an answer, also what its reader skips.
+// limitedReader limits the bytes that are read for one exchange. It counts all of them, including those that the HTTP
+// parser skips.
 type limitedReader struct {
-	left   int
-	source io.Reader
+	remaining int
+	source    io.Reader
 }
 
-// Read implements io.Reader. It returns ErrTooLong when the bytes are used up.
+// Read implements io.Reader. It returns ErrTooLong when no bytes remain.
 func (r *limitedReader) Read(buffer []byte) (int, error) {
-	if r.left <= 0 {
+	if r.remaining <= 0 {
 		return 0, ErrTooLong
 	}
-	n, err := r.source.Read(buffer[:min(len(buffer), r.left)])
-	r.left -= n
+	n, err := r.source.Read(buffer[:min(len(buffer), r.remaining)])
+	r.remaining -= n
 	return n, err
 }
 
-// isClean reports whether an idle connection can carry a request: the peer has not closed it and
-// nothing unread is left on it.
+// isClean reports whether an idle connection can be used for a request: the peer has not closed it and there is no
+// unread input.
 func (c *conn) isClean() bool {
 	return c.reader.Buffered() == 0 && !HasInput(c.Conn)
 }
 
-// HasInput reports whether a read from c would return at once, be it with data, the end of the
-// stream or an error. It takes nothing from the stream. Connections other than TCP report false.
+// HasInput reports whether a read from c would return at once, with data, the end of the stream or an error. It does
+// not consume input. It returns false for connections that do not implement syscall.Conn.
 func HasInput(c net.Conn) bool {
 	n, err := peek(c)
-	return n >= 0 || !isEmpty(err)
+	return n >= 0 || !isNoInput(err)
 }
 
-// IsClosed reports whether the other end of c has closed its side or reset the connection.
+// IsClosed reports whether the peer has closed its side of c or reset the connection. It does not consume input.
 func IsClosed(c net.Conn) bool {
 	n, err := peek(c)
-	return n == 0 || (n < 0 && !isEmpty(err))
+	return n == 0 || (n < 0 && !isNoInput(err))
 }
 
-func isEmpty(err error) bool {
+// isNoInput reports whether a peek failed only because nothing can be read yet or peeking is not supported.
+func isNoInput(err error) bool {
 	return errors.Is(err, syscall.EAGAIN) || errors.Is(err, errors.ErrUnsupported)
 }
 
-// peek returns the number of bytes that are ready, zero at the end of the stream and -1 with an
-// error otherwise.
+// peek returns 1 if input is available, 0 at the end of the stream, and -1 with an error otherwise. It does not block.
 func peek(c net.Conn) (int, error) {
 	source, ok := c.(syscall.Conn)
 	if !ok {
@@ -87,13 +89,13 @@
 		return -1, err
 	}
 	n := -1
-	var failure error
-	control := raw.Control(func(fd uintptr) {
+	var recvErr error
+	controlErr := raw.Control(func(fd uintptr) {
 		var one [1]byte
-		n, _, failure = syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		n, _, recvErr = syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	})
-	if control != nil {
-		return -1, control
+	if controlErr != nil {
+		return -1, controlErr
 	}
-	return n, failure
+	return n, recvErr
 }
--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -1,5 +1,5 @@
-// Package forwarder sends HTTP requests over pooled connections that it owns. It never sends a
-// request twice, and a connection that saw a timeout, a cancel or a short body is closed.
+// Package forwarder is an HTTP client with its own connection pool. It never retries: each request is sent at most
+// once. A connection is closed, not reused, after a timeout, a cancellation or a truncated response body.
 package forwarder
 
 import (
@@ -20,46 +20,56 @@
 	"github.com/marigoldrelay/marigoldrelay/internal/timekeeper"
 )
 
-// Errors of Pool.Do. After ErrNotSent no byte of the request has left. After the others the
-// receiver may have got the request.
+// Errors of Pool.Do. After an error that wraps ErrNotSent, no byte of the request has been sent. After any other
+// error the receiver may have got the request.
 var (
+	// ErrCancelled means that the context was done.
 	ErrCancelled = merry.Sentinel("cancelled")
-	ErrForeign   = merry.Sentinel("answers to other requests")
-	ErrLost      = merry.Sentinel("connection lost")
-	ErrNotSent   = merry.Sentinel("not sent")
-	ErrOverdue   = merry.Sentinel("answer overdue")
-	ErrTimeout   = merry.Sentinel("deadline passed")
-	ErrTooLong   = merry.Sentinel("answer too long")
-	ErrUnframed  = merry.Sentinel("answer without a length")
+	// ErrForeign means that Exchange.Accept rejected the responses on the connection.
+	ErrForeign = merry.Sentinel("answers to other requests")
+	// ErrLost means that the connection failed or ended before the whole response was read, or that the response is
+	// malformed.
+	ErrLost = merry.Sentinel("connection lost")
+	// ErrNotSent means that no connection could be opened, that the deadline had already passed, or that the context
+	// was already done.
+	ErrNotSent = merry.Sentinel("not sent")
+	// ErrOverdue means that Exchange.Overdue gave up waiting for the first byte of the response.
+	ErrOverdue = merry.Sentinel("answer overdue")
+	// ErrTimeout means that Exchange.Deadline passed.
+	ErrTimeout = merry.Sentinel("deadline passed")
+	// ErrTooLong means that the response exceeded a size limit or had too many interim responses before it.
+	ErrTooLong = merry.Sentinel("answer too long")
+	// ErrUnframed means that the response body had no length and the pool was not created with WithUnframed.
+	ErrUnframed = merry.Sentinel("answer without a length")
 )
 
-// Defaults of a Pool.
+// Limits of a Pool.
 const (
 	DefaultDialTimeout = time.Second
-	DefaultMaxAge      = 5 * time.Minute
-	DefaultMaxIdle     = 256
+	DefaultMaxAge      = 5 * time.Minute // Since the connection was opened.
+	DefaultMaxIdle     = 256             // Connections.
 	DefaultMaxIdleTime = 4 * time.Second
-	DefaultMaxBody     = 16 << 20
-	// ShortMaxBody suits the answers of health and load endpoints.
+	DefaultMaxBody     = 16 << 20 // Bytes.
+	// ShortMaxBody is a body limit, in bytes, for the responses of health and load endpoints.
 	ShortMaxBody = 64 << 10
 )
 
-// Lengths that the HTTP library reports for bodies without a length.
+// Limits on reading a response, and body lengths as the HTTP library reports them.
 const (
-	// maxForeign bounds how many answers are read in search of the own.
-	maxForeign = 3
-	// maxInterim bounds the interim answers before one.
-	maxInterim = 8
-	// maxOverhead is what an answer may have beside its body: its head, and the framing of a body in chunks as
-	// long as that is no longer than the body.
+	// maxForeignResponses limits how many responses are read to find the one that belongs to the request.
+	maxForeignResponses = 3
+	// maxInterimResponses limits the headers that are read for one response, interim (1xx) responses included.
+	maxInterimResponses = 8
+	// maxOverhead plus twice the body limit is the limit, in bytes, on all that is read for a request. It leaves room
+	// for the body, the header, and the framing of a chunked body unless the framing is longer than the body.
 	maxOverhead = 1 << 20
-	// chunkedLength is that of a body in chunks.
+	// chunkedLength is the reported length of a chunked body.
 	chunkedLength = -1
-	// unframedLength is that of a body that only the end of the stream bounds.
-	unframedLength = -2
+	// noLength is the reported length of a body that ends with the stream.
+	noLength = -2
 )
 
-// Pool keeps connections to one address. It is safe for concurrent use.
+// Pool keeps connections to one address for reuse. It is safe for concurrent use.
 type Pool struct {
 	address     netip.AddrPort
 	clock       timekeeper.Clock
@@ -74,30 +84,31 @@
 	idle   []*conn
 }
 
-// Option changes a Pool under construction.
+// Option configures a Pool in New.
 type Option func(*Pool)
 
-// WithDialer replaces the TCP dialer.
+// WithDialer replaces the TCP dialer. The function gets the pool's address and the dial timeout.
 func WithDialer(dial func(netip.AddrPort, time.Duration) (net.Conn, error)) Option {
 	return func(p *Pool) { p.dial = dial }
 }
 
-// WithMaxBody bounds an answer's body in bytes.
+// WithMaxBody limits the size of a response body, in bytes.
 func WithMaxBody(limit int) Option {
 	return func(p *Pool) { p.maxBody = limit }
 }
 
-// WithMaxIdleTime bounds how long a connection that is used again has been idle.
+// WithMaxIdleTime limits how long a connection may have been idle before it is reused.
 func WithMaxIdleTime(limit time.Duration) Option {
 	return func(p *Pool) { p.maxIdleTime = limit }
 }
 
-// WithUnframed takes answers without a length: such a body is whole when the stream ends in order.
+// WithUnframed accepts responses whose body has no length. Such a body is complete when the stream ends without an
+// error.
 func WithUnframed() Option {
 	return func(p *Pool) { p.unframed = true }
 }
 
-// New returns a pool of connections to address.
+// New returns an empty pool of connections to address.
 func New(address netip.AddrPort, clock timekeeper.Clock, options ...Option) *Pool {
 	p := &Pool{
 		address:     address,
@@ -117,27 +128,28 @@
 	return net.DialTimeout("tcp", address.String(), timeout)
 }
 
-// Exchange is one request with the place for its answer.
+// Exchange is one request, the response to fill in, and the limits on waiting for it.
 type Exchange struct {
-	// Accept reports whether an answer belongs to the request; nil takes every answer. One that does
-	// not is skipped.
-	Accept   func(header *fasthttp.ResponseHeader) bool
+	// Accept reports whether a response belongs to the request; responses that do not are skipped. If nil, every
+	// response is accepted.
+	Accept func(header *fasthttp.ResponseHeader) bool
+	// Deadline ends the exchange: dialing, sending and reading the response.
 	Deadline time.Time
-	// Fresh asks for a connection of its own that is closed afterwards.
+	// Fresh requests a new connection that is closed after the exchange.
 	Fresh bool
-	// Overdue is called when Patience has passed without a byte of the answer. It returns how long to
-	// wait until the next call, or zero to give up. It is not called where it is nil.
+	// Overdue is called when Patience has passed without a byte of the response. It returns how long to wait until
+	// the next call, or zero to give up with ErrOverdue. It can be nil.
 	Overdue func() time.Duration
-	// MaxIdle bounds how long the connection may have been idle; zero for the pool's bound.
+	// MaxIdle limits how long a reused connection may have been idle; zero means the pool's limit.
 	MaxIdle time.Duration
-	// Patience is how long an answer's first byte usually takes at most.
+	// Patience is how long the first byte of a response usually takes at most. Overdue is not called if it is zero.
 	Patience time.Duration
 	Request  *fasthttp.Request
 	Response *fasthttp.Response
 }
 
-// Do sends the request once and reads the whole answer. The error wraps one of this package's
-// sentinels. A done ctx closes the connection, which tells the receiver to stop.
+// Do sends the request once and reads the whole response. Errors wrap one of the package's sentinel errors. When ctx
+// is done during the exchange, the connection is closed, which signals the cancellation to the receiver.
 func (p *Pool) Do(ctx context.Context, x *Exchange) error {
 	now := p.clock.Now()
 	if !now.Before(x.Deadline) {
@@ -146,7 +158,7 @@
 	if ctx.Err() != nil {
 		return fmt.Errorf("%w: %w", ErrNotSent, ErrCancelled)
 	}
-	c, err := p.take(now, x)
+	c, err := p.acquire(now, x)
 	if err != nil {
 		return fmt.Errorf("%w: %s: %w", ErrNotSent, p.address, err)
 	}
@@ -154,7 +166,7 @@
 		stop := context.AfterFunc(ctx, func() { _ = c.Close() })
 		defer stop()
 	}
-	if err := p.exchange(c, x, now); err != nil {
+	if err := p.roundTrip(c, x, now); err != nil {
 		_ = c.Close()
 		return p.classify(ctx, err)
 	}
@@ -162,31 +174,31 @@
 		_ = c.Close()
 		return nil
 	}
-	c.keepAlive = keepAliveOf(x.Response)
-	p.put(c)
+	c.keepAlive = keepAliveTimeout(x.Response)
+	p.release(c)
 	return nil
 }
 
-// keepAlivePart is the part of the time that the other end keeps an idle connection for which it is
-// used.
-const keepAlivePart = 0.7
+// keepAliveFraction is the fraction of the server's Keep-Alive timeout for which an idle connection is reused.
+const keepAliveFraction = 0.7
 
-// keepAliveOf returns how long the connection may be idle by the answer's Keep-Alive field, or zero.
-func keepAliveOf(resp *fasthttp.Response) time.Duration {
+// keepAliveTimeout returns how long the connection may be idle according to the Keep-Alive header of the response, or
+// zero if the header gives no timeout.
+func keepAliveTimeout(resp *fasthttp.Response) time.Duration {
 	for parameter := range strings.SplitSeq(string(resp.Header.Peek(fasthttp.HeaderKeepAlive)), ",") {
 		text, ok := strings.CutPrefix(strings.TrimSpace(parameter), "timeout=")
 		if !ok {
 			continue
 		}
 		if seconds, err := strconv.ParseFloat(text, 64); err == nil {
-			return time.Duration(keepAlivePart * seconds * float64(time.Second))
+			return time.Duration(keepAliveFraction * seconds * float64(time.Second))
 		}
 	}
 	return 0
 }
 
-func (p *Pool) exchange(c *conn, x *Exchange, now time.Time) error {
-	c.limit.left = 2*p.maxBody + maxOverhead
+func (p *Pool) roundTrip(c *conn, x *Exchange, now time.Time) error {
+	c.limited.remaining = 2*p.maxBody + maxOverhead
 	if err := c.SetDeadline(x.Deadline); err != nil {
 		return err
 	}
@@ -199,14 +211,14 @@
 	if err := p.awaitFirstByte(c, x, now); err != nil {
 		return err
 	}
-	return p.readAnswer(c, x)
+	return p.readMatchingResponse(c, x)
 }
 
-// readAnswer reads one whole answer. A body that only the end of the stream bounds is an error,
-// because nobody can tell whether it is whole.
-func (p *Pool) readAnswer(c *conn, x *Exchange) error {
-	for range maxForeign {
-		if err := p.readOne(c, x); err != nil {
+// readMatchingResponse reads responses until Accept takes one. It returns ErrForeign if a rejected response closes the
+// connection, or after maxForeignResponses rejected responses.
+func (p *Pool) readMatchingResponse(c *conn, x *Exchange) error {
+	for range maxForeignResponses {
+		if err := p.readResponse(c, x); err != nil {
 			return err
 		}
 		if x.Accept == nil || x.Accept(&x.Response.Header) {
@@ -220,7 +232,9 @@
 	return ErrForeign
 }
 
-func (p *Pool) readOne(c *conn, x *Exchange) error {
+// readResponse reads one whole response: header, body and trailer. Without WithUnframed, a body that ends with the
+// stream is an error, because it cannot be told whether the body is complete.
+func (p *Pool) readResponse(c *conn, x *Exchange) error {
 	header := &x.Response.Header
 	if err := readFinalHeader(c, header); err != nil {
 		return err
@@ -229,22 +243,22 @@
 	if x.Response.SkipBody {
 		return nil
 	}
-	framing := header.ContentLength()
-	if framing == unframedLength && !p.unframed {
+	contentLength := header.ContentLength()
+	if contentLength == noLength && !p.unframed {
 		return ErrUnframed
 	}
 	if err := x.Response.ReadBody(c.reader, p.maxBody); err != nil {
 		return err
 	}
-	if framing == chunkedLength {
+	if contentLength == chunkedLength {
 		return header.ReadTrailer(c.reader)
 	}
 	return nil
 }
 
-// readFinalHeader reads the header of an answer and skips those of interim ones before it.
+// readFinalHeader reads the header of a final response and skips the interim (1xx) responses before it.
 func readFinalHeader(c *conn, header *fasthttp.ResponseHeader) error {
-	for range maxInterim {
+	for range maxInterimResponses {
 		if err := header.Read(c.reader); err != nil {
 			return err
 		}
@@ -255,11 +269,13 @@
 	return ErrTooLong
 }
 
-// hasNoBody reports whether answers with the status never have a body (RFC 9110, section 6.4.1).
+// hasNoBody reports whether responses with the status never have a body (RFC 9110, section 6.4.1).
 func hasNoBody(status int) bool {
 	return status < fasthttp.StatusOK || status == fasthttp.StatusNoContent || status == fasthttp.StatusNotModified
 }
 
+// awaitFirstByte waits for the first byte of the response and calls Overdue each time that it is late. It stops
+// waiting, without an error, when the next call would be due at the deadline or later.
 func (p *Pool) awaitFirstByte(c *conn, x *Exchange, now time.Time) error {
 	if x.Patience <= 0 || x.Overdue == nil {
 		return nil
@@ -285,6 +301,7 @@
 	return c.SetReadDeadline(x.Deadline)
 }
 
+// classify wraps an error of an exchange in the sentinel error for it, with the pool's address.
 func (p *Pool) classify(ctx context.Context, err error) error {
 	var small *fasthttp.ErrSmallBuffer
 	switch {
@@ -301,14 +318,14 @@
 	}
 }
 
-// take returns a clean idle connection or opens one.
-func (p *Pool) take(now time.Time, x *Exchange) (*conn, error) {
+// acquire returns a reusable idle connection or dials a new one. It closes idle connections that can't be reused.
+func (p *Pool) acquire(now time.Time, x *Exchange) (*conn, error) {
 	for !x.Fresh {
-		c := p.pop()
+		c := p.popIdle()
 		if c == nil {
 			break
 		}
-		if p.isFit(c, now, x.MaxIdle) {
+		if p.isReusable(c, now, x.MaxIdle) {
 			return c, nil
 		}
 		_ = c.Close()
@@ -321,20 +338,22 @@
 	return newConn(raw, now), nil
 }
 
-func (p *Pool) isFit(c *conn, now time.Time, maxIdle time.Duration) bool {
+// isReusable reports whether an idle connection is within its limits of age and idle time and has no unread input.
+func (p *Pool) isReusable(c *conn, now time.Time, maxIdle time.Duration) bool {
 	if maxIdle == 0 {
 		maxIdle = p.maxIdleTime
 	}
 	if c.keepAlive > 0 {
 		maxIdle = min(maxIdle, c.keepAlive)
 	}
-	if now.Sub(c.opened) > p.maxAge || now.Sub(c.used) > maxIdle {
+	if now.Sub(c.opened) > p.maxAge || now.Sub(c.lastUsed) > maxIdle {
 		return false
 	}
 	return c.isClean()
 }
 
-func (p *Pool) pop() *conn {
+// popIdle removes and returns the idle connection that was released last, or nil.
+func (p *Pool) popIdle() *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	last := len(p.idle) - 1
@@ -347,8 +366,9 @@
 	return c
 }
 
-func (p *Pool) put(c *conn) {
-	c.used = p.clock.Now()
+// release keeps c for reuse, or closes it if the pool is closed or full.
+func (p *Pool) release(c *conn) {
+	c.lastUsed = p.clock.Now()
 	p.mu.Lock()
 	keep := !p.closed && len(p.idle) < DefaultMaxIdle
 	if keep {
@@ -360,7 +380,7 @@
 	}
 }
 
-// CloseIdle closes the connections that no request uses. The pool stays usable.
+// CloseIdle closes the idle connections. The pool stays usable.
 func (p *Pool) CloseIdle() {
 	p.mu.Lock()
 	idle := p.idle
@@ -371,7 +391,7 @@
 	}
 }
 
-// Close closes the idle connections and keeps no more.
+// Close closes the idle connections. Connections in use are closed after their exchange instead of being kept.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	p.closed = true
