--- a/internal/listener/conn.go
+++ b/internal/listener/conn.go
@@ -14,18 +14,22 @@
 )
 
 const (
-	// bodyTime bounds how long a caller takes to send a body.
-	bodyTime = 30 * time.Second
-	// headerRoom is for the request line beside the header fields.
-	headerRoom   = 1024
-	lingerTime   = time.Second
-	maxPipelined = 32
-	readBuffer   = 2048
-	writeBuffer  = 4096
-	writeTime    = 10 * time.Second
+	// bodyReadTimeout limits the time for reading a body.
+	bodyReadTimeout = 30 * time.Second
+	// requestLineBytes is allowed for the request line in addition to the limit on the header fields.
+	requestLineBytes = 1024
+	// lingerTimeout limits how long input is read and discarded after the last response.
+	lingerTimeout = time.Second
+	// maxPipelined limits the unanswered requests of a connection. At the limit no further request is read.
+	maxPipelined     = 32
+	readBufferBytes  = 2048
+	writeBufferBytes = 4096
+	// writeTimeout limits the time for writing one response.
+	writeTimeout = 10 * time.Second
 )
 
-// conn is one connection. One goroutine reads it; the requests' goroutines write the answers in order.
+// conn is one connection. One goroutine reads the requests. Each request runs in its own goroutine, and these write the
+// responses in the order of the requests.
 type conn struct {
 	net.Conn
 	listener *Listener
@@ -35,39 +39,41 @@
 	cancel context.CancelFunc
 
 	mu sync.Mutex
-	// closing is true when no further request is to be begun.
+	// closing is set when no further request is to be read.
 	closing bool
-	// finishing is true when the last answer is written.
-	finishing bool
-	// queue holds the exchanges that are not answered yet, in order.
+	// lingering is set when the last response has been written.
+	lingering bool
+	// queue holds the unanswered exchanges, in the order of their requests.
 	queue []*exchange
-	// reading is true while a request has begun to come in.
+	// reading is set while a request is being received.
 	reading bool
-	room    sync.Cond
+	// dequeued signals that exchanges were removed from the queue.
+	dequeued sync.Cond
 }
 
-// exchange is a request with its answer.
+// exchange is a request with its response.
 type exchange struct {
 	request  *fasthttp.Request
 	response *fasthttp.Response
-	// begun is true when the request is worked on.
-	begun bool
-	// done is true when the answer can be written.
+	// started is set when the handler of the request has been started.
+	started bool
+	// done is set when the response can be written.
 	done bool
-	// last is true when the connection ends with the answer.
-	last bool
-	// parallel is true when the request may run beside those before it.
-	parallel bool
+	// closeAfter is set when the connection is closed after the response.
+	closeAfter bool
+	// concurrent is set when the request may run at the same time as those before it: for GET and HEAD.
+	concurrent bool
 }
 
 func newConn(l *Listener, raw net.Conn) *conn {
 	c := &conn{Conn: raw, listener: l}
-	c.room.L = &c.mu
+	c.dequeued.L = &c.mu
 	c.ctx, c.cancel = context.WithCancel(context.Background())
-	c.reader = bufio.NewReaderSize(raw, readBuffer)
+	c.reader = bufio.NewReaderSize(raw, readBufferBytes)
 	return c
 }
 
+// serve reads requests until the last one, and then closes the connection when they are answered.
 func (c *conn) serve() {
 	defer c.cancel()
 	for c.readNext() {
@@ -75,31 +81,31 @@
 	c.mu.Lock()
 	c.closing = true
 	if len(c.queue) == 0 {
-		c.finish()
-	} else if !c.finishing {
+		c.lingeringClose()
+	} else if !c.lingering {
 		_ = c.SetReadDeadline(time.Time{})
 	}
 	c.mu.Unlock()
-	c.awaitEnd()
+	c.awaitClose()
 }
 
-// awaitEnd reads to the end of the stream while the last answers are made. It cancels what is still
-// worked on when the caller has gone, and returns when nothing is.
-func (c *conn) awaitEnd() {
-	// The stream ends with the caller's close or with the deadline that finish sets.
+// awaitClose discards input up to the end of the stream while the remaining requests are processed. It cancels those
+// that are unanswered when the stream ends, waits until the queue is empty, and closes the connection.
+func (c *conn) awaitClose() {
+	// The copy ends when the caller closes the connection, or at the deadline that lingeringClose sets.
 	_, _ = io.Copy(io.Discard, c.reader)
 	c.mu.Lock()
 	if len(c.queue) > 0 {
 		c.cancel()
 	}
 	for len(c.queue) > 0 {
-		c.room.Wait()
+		c.dequeued.Wait()
 	}
 	c.mu.Unlock()
 	_ = c.Close()
 }
 
-// readNext reads one request and begins to work on it. It returns false when no further one follows.
+// readNext reads one request and queues it. It returns false when no further request is to be read.
 func (c *conn) readNext() bool {
 	if !c.awaitRequest() {
 		return false
@@ -107,12 +113,12 @@
 	limits := c.listener.Limits()
 	x := &exchange{request: &fasthttp.Request{}, response: &fasthttp.Response{}}
 	_ = c.SetReadDeadline(time.Now().Add(limits.HeaderTimeout))
-	err := c.readHeader(&x.request.Header, limits.MaxHeaderBytes+headerRoom)
+	err := c.readHeader(&x.request.Header, limits.MaxHeaderBytes+requestLineBytes)
 	if err == nil && len(x.request.Header.RawHeaders()) > limits.MaxHeaderBytes {
 		err = &fasthttp.ErrSmallBuffer{}
 	}
 	if err == nil {
-		_ = c.SetReadDeadline(time.Now().Add(bodyTime))
+		_ = c.SetReadDeadline(time.Now().Add(bodyReadTimeout))
 		err = c.readBody(x.request, limits.MaxBodyBytes)
 	}
 	c.mu.Lock()
@@ -121,30 +127,31 @@
 	if err != nil {
 		return c.refuse(x, err)
 	}
-	x.parallel = x.request.Header.IsGet() || x.request.Header.IsHead()
-	x.last = x.request.ConnectionClose()
-	last := x.last
+	x.concurrent = x.request.Header.IsGet() || x.request.Header.IsHead()
+	x.closeAfter = x.request.ConnectionClose()
+	closeAfter := x.closeAfter
 	c.enqueue(x)
-	return !last
+	return !closeAfter
 }
 
-// readHeader reads a header of at most limit bytes. The buffer grows to the limit for a long one only,
-// because most connections never see one.
+// readHeader reads a header of at most limit bytes. The buffer grows to the limit only for a header that does not fit,
+// because most connections never receive one.
 func (c *conn) readHeader(header *fasthttp.RequestHeader, limit int) error {
 	err := header.Read(c.reader)
 	var small *fasthttp.ErrSmallBuffer
 	if !errors.As(err, &small) || c.reader.Size() >= limit {
 		return err
 	}
-	begun, err := c.reader.Peek(c.reader.Buffered())
+	buffered, err := c.reader.Peek(c.reader.Buffered())
 	if err != nil {
 		return err
 	}
-	rest := io.MultiReader(bytes.NewReader(bytes.Clone(begun)), c.Conn)
+	rest := io.MultiReader(bytes.NewReader(bytes.Clone(buffered)), c.Conn)
 	c.reader = bufio.NewReaderSize(rest, limit)
 	return header.Read(c.reader)
 }
 
+// readBody reads a body of at most limit bytes, after an interim 100 response if the caller expects one.
 func (c *conn) readBody(req *fasthttp.Request, limit int) error {
 	if req.MayContinue() {
 		if _, err := c.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n")); err != nil {
@@ -154,17 +161,18 @@
 	return req.ContinueReadBody(c.reader, limit, false)
 }
 
-// awaitRequest waits for the first byte of a request.
+// awaitRequest waits until fewer than maxPipelined requests are unanswered and the first byte of the next one has
+// arrived. It returns false when the connection is closing, and cancels the running requests when it can't be read.
 func (c *conn) awaitRequest() bool {
 	c.mu.Lock()
 	for len(c.queue) >= maxPipelined {
-		c.room.Wait()
+		c.dequeued.Wait()
 	}
 	if c.closing {
 		c.mu.Unlock()
 		return false
 	}
-	c.armIdle()
+	c.setIdleDeadline()
 	c.mu.Unlock()
 	if _, err := c.reader.Peek(1); err != nil {
 		c.cancel()
@@ -176,8 +184,9 @@
 	return !c.closing
 }
 
-// armIdle starts the idle timeout if nothing is in flight. It is called with mu held.
-func (c *conn) armIdle() {
+// setIdleDeadline sets the read deadline to the idle timeout, or clears it while requests are unanswered. It is called
+// with mu held.
+func (c *conn) setIdleDeadline() {
 	deadline := time.Time{}
 	if len(c.queue) == 0 {
 		deadline = time.Now().Add(c.listener.Limits().IdleTimeout)
@@ -185,149 +194,156 @@
 	_ = c.SetReadDeadline(deadline)
 }
 
-// refuse answers a request that can't be read, unless the caller has gone.
+// refuse queues the response to a request that can't be read as the last one of the connection. If the caller has
+// disconnected, it cancels the running requests instead. It always returns false.
 func (c *conn) refuse(x *exchange, cause error) bool {
-	if isEndOfStream(cause) {
+	if isDisconnect(cause) {
 		c.cancel()
 		return false
 	}
 	c.listener.Refuse(x.response, cause)
-	x.begun, x.done, x.last = true, true, true
+	x.started, x.done, x.closeAfter = true, true, true
 	c.mu.Lock()
 	c.queue = append(c.queue, x)
 	c.mu.Unlock()
-	c.write()
+	c.writeReady()
 	return false
 }
 
-// isEndOfStream reports whether a request was cut off by its caller or by the network. A timeout is
-// no end: the caller can still read why it is refused.
-func isEndOfStream(err error) bool {
+// isDisconnect reports whether a request is incomplete because the caller closed the connection or the network failed.
+// A timeout does not count, because the caller can still read why its request is refused.
+func isDisconnect(err error) bool {
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 		return true
 	}
-	var network net.Error
-	if errors.As(err, &network) {
-		return !network.Timeout()
+	var netErr net.Error
+	if errors.As(err, &netErr) {
+		return !netErr.Timeout()
 	}
-	var nothing fasthttp.ErrNothingRead
-	return errors.As(err, &nothing)
+	var nothingRead fasthttp.ErrNothingRead
+	return errors.As(err, &nothingRead)
 }
 
-// enqueue lines the exchange up and begins those that may run.
+// enqueue adds the exchange to the queue and starts those that may run.
 func (c *conn) enqueue(x *exchange) {
 	c.mu.Lock()
 	c.queue = append(c.queue, x)
-	begin := c.beginnable()
+	startable := c.takeStartable()
 	c.mu.Unlock()
-	c.begin(begin)
+	c.start(startable)
 }
 
-// beginnable marks and returns the exchanges that may run now: the first of the line, and further
-// ones as long as all are of methods that have no effect. It is called with mu held.
-func (c *conn) beginnable() []*exchange {
-	var begin []*exchange
+// takeStartable returns the exchanges that are to be started now and marks them as started: the first in the queue,
+// and those behind it as long as all are GET or HEAD requests, which have no side effects. Nothing is started behind a
+// first exchange that closes the connection. It is called with mu held.
+func (c *conn) takeStartable() []*exchange {
+	var startable []*exchange
 	for i, x := range c.queue {
-		if i > 0 && (!x.parallel || !c.queue[i-1].parallel) {
+		if i > 0 && (!x.concurrent || !c.queue[i-1].concurrent) {
 			break
 		}
-		if c.queue[0].last && i > 0 {
+		if c.queue[0].closeAfter && i > 0 {
 			break
 		}
-		if !x.begun {
-			x.begun = true
-			begin = append(begin, x)
+		if !x.started {
+			x.started = true
+			startable = append(startable, x)
 		}
 	}
-	return begin
+	return startable
 }
 
-func (c *conn) begin(exchanges []*exchange) {
+// start runs the handler of each exchange in its own goroutine, which then writes the responses that are ready.
+func (c *conn) start(exchanges []*exchange) {
 	for _, x := range exchanges {
 		go func() {
 			c.listener.Handle(c.ctx, x.request, x.response)
 			c.mu.Lock()
 			x.done = true
 			c.mu.Unlock()
-			c.write()
+			c.writeReady()
 		}()
 	}
 }
 
-// write sends the answers at the head of the line that are done.
-func (c *conn) write() {
+// writeReady writes the responses at the head of the queue that are done, up to one that closes the connection, and
+// starts the requests that may run after that. While the listener drains, a response closes the connection unless the
+// next request has been started.
+func (c *conn) writeReady() {
 	c.mu.Lock()
-	writer := bufio.NewWriterSize(c.Conn, writeBuffer)
-	var failure error
-	ended := false
-	for len(c.queue) > 0 && c.queue[0].done && !ended {
+	writer := bufio.NewWriterSize(c.Conn, writeBufferBytes)
+	var writeErr error
+	lastWritten := false
+	for len(c.queue) > 0 && c.queue[0].done && !lastWritten {
 		x := c.queue[0]
-		next := len(c.queue) > 1 && c.queue[1].begun
-		if c.listener.draining.Load() && !next {
-			x.last = true
+		nextStarted := len(c.queue) > 1 && c.queue[1].started
+		if c.listener.draining.Load() && !nextStarted {
+			x.closeAfter = true
 		}
-		ended = x.last
-		failure = c.send(writer, x)
+		lastWritten = x.closeAfter
+		writeErr = c.writeResponse(writer, x)
 		c.queue = c.queue[1:]
-		if failure != nil {
+		if writeErr != nil {
 			break
 		}
 	}
-	if ended || failure != nil {
-		c.drop()
+	if lastWritten || writeErr != nil {
+		c.discardQueue()
 	} else if len(c.queue) == 0 && !c.reading {
-		c.armIdle()
+		c.setIdleDeadline()
 	}
-	begin := c.beginnable()
-	c.room.Broadcast()
-	if ended {
-		c.finish()
+	startable := c.takeStartable()
+	c.dequeued.Broadcast()
+	if lastWritten {
+		c.lingeringClose()
 	}
 	c.mu.Unlock()
-	c.begin(begin)
-	if failure != nil {
-		c.cut()
+	c.start(startable)
+	if writeErr != nil {
+		c.abort()
 	}
 }
 
-func (c *conn) send(writer *bufio.Writer, x *exchange) error {
-	if x.last {
+// writeResponse writes and flushes one response.
+func (c *conn) writeResponse(writer *bufio.Writer, x *exchange) error {
+	if x.closeAfter {
 		x.response.SetConnectionClose()
 	}
 	x.response.SkipBody = x.request.Header.IsHead()
-	_ = c.SetWriteDeadline(time.Now().Add(writeTime))
+	_ = c.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if err := x.response.Write(writer); err != nil {
 		return err
 	}
 	return writer.Flush()
 }
 
-// drop gives up the requests that wait behind the end of the connection. Those that have begun go on
-// until they notice it. It is called with mu held.
-func (c *conn) drop() {
+// discardQueue discards the remaining requests of a connection that ends. Those that have been started run until they
+// notice it. It is called with mu held.
+func (c *conn) discardQueue() {
 	c.closing = true
 	c.queue = nil
 }
 
-// finish ends the connection after the last answer. What the caller still sends is read for a short
-// time, since a close with unread bytes would reset the connection before the answer is read. It is
-// called with mu held.
-func (c *conn) finish() {
-	c.finishing = true
-	half, ok := c.Conn.(interface{ CloseWrite() error })
-	if !ok || half.CloseWrite() != nil || c.listener.closed.Load() {
+// lingeringClose closes the connection for writing after the last response. Further input is read for lingerTimeout,
+// because closing a connection with unread input would reset it before the caller has read the response. It closes the
+// connection at once if it can't be half-closed or the listener is closed. It is called with mu held.
+func (c *conn) lingeringClose() {
+	c.lingering = true
+	halfCloser, ok := c.Conn.(interface{ CloseWrite() error })
+	if !ok || halfCloser.CloseWrite() != nil || c.listener.closed.Load() {
 		_ = c.Close()
 		return
 	}
-	_ = c.SetReadDeadline(time.Now().Add(lingerTime))
+	_ = c.SetReadDeadline(time.Now().Add(lingerTimeout))
 }
 
-func (c *conn) cut() {
+// abort closes the connection and cancels its requests.
+func (c *conn) abort() {
 	c.cancel()
 	_ = c.Close()
 }
 
-// closeIdle closes the connection if nothing is in flight.
+// closeIdle closes the connection if no request is unanswered or being received.
 func (c *conn) closeIdle() {
 	c.mu.Lock()
 	idle := len(c.queue) == 0 && !c.reading
@@ -336,7 +352,7 @@
 	}
 	c.mu.Unlock()
 	if idle {
-		c.cut()
+		c.abort()
 	}
 }
 
--- a/internal/listener/listener.go
+++ b/internal/listener/listener.go
@@ -1,6 +1,6 @@
-// Package listener serves HTTP/1.1 connections. Beside what the HTTP library's server does, it notices
-// at once that a caller has closed its connection, answers pipelined requests that were worked on side
-// by side in their order, and leaves open connections in a way that loses no request.
+// Package listener is an HTTP/1.1 server. Beyond what the HTTP library's server does, it detects at once that a caller
+// has closed its connection, runs pipelined GET and HEAD requests concurrently while keeping their responses in order,
+// and closes open connections without losing a request when it shuts down.
 package listener
 
 import (
@@ -14,27 +14,29 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Limits bounds what a caller may send and how long it may take.
+// Limits are the limits on the size of a caller's requests and on the time that they take.
 type Limits struct {
-	HeaderTimeout  time.Duration
-	IdleTimeout    time.Duration
+	HeaderTimeout  time.Duration // From the first byte of a request to the end of its header.
+	IdleTimeout    time.Duration // Of a connection without requests.
 	MaxBodyBytes   int
-	MaxHeaderBytes int
+	MaxHeaderBytes int // Without the request line.
 }
 
-// Handler answers req in resp. Its context is done when the caller has closed the connection.
+// Handler processes req and fills in resp. The context is cancelled when the caller closes the connection
+// or the connection is aborted.
 type Handler func(ctx context.Context, req *fasthttp.Request, resp *fasthttp.Response)
 
-// Config holds the dependencies of a Listener.
+// Config holds the callbacks of a Listener.
 type Config struct {
+	// Handle processes the requests. It is called concurrently.
 	Handle Handler
-	// Limits returns the limits in force.
+	// Limits returns the current limits.
 	Limits func() Limits
-	// Refuse writes the answer to a request that can't be read.
+	// Refuse fills in the response to a request that can't be read because of cause.
 	Refuse func(resp *fasthttp.Response, cause error)
 }
 
-// Listener serves the connections of one address. It is safe for concurrent use.
+// Listener serves the connections that one net.Listener accepts. It is safe for concurrent use.
 type Listener struct {
 	Config
 
@@ -47,14 +49,15 @@
 	serving  sync.WaitGroup
 }
 
-// New returns a listener. Serve accepts its connections.
+// New returns a listener that does not accept connections until Serve is called.
 func New(config Config) *Listener {
 	return &Listener{Config: config, conns: make(map[*conn]struct{})}
 }
 
-const acceptPause = 10 * time.Millisecond
+// acceptRetryDelay is the pause after a failed accept.
+const acceptRetryDelay = 10 * time.Millisecond
 
-// Serve accepts connections until Close or Abort.
+// Serve accepts and serves connections until Close, Shut or Abort is called. It does not wait for open connections.
 func (l *Listener) Serve(listener net.Listener) {
 	l.mu.Lock()
 	l.listener = listener
@@ -65,8 +68,8 @@
 			return
 		}
 		if err != nil {
-			// Too many open files, most likely: some will be closed.
-			time.Sleep(acceptPause)
+			// The likely cause is too many open files, which passes as files are closed.
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
 		c := newConn(l, raw)
@@ -97,31 +100,33 @@
 	delete(l.conns, c)
 }
 
-// Drain has every further answer close its connection. New connections are still served.
+// Drain makes each further response close its connection, unless the next pipelined request is already running. New
+// connections are still accepted and served.
 func (l *Listener) Drain() {
 	l.draining.Store(true)
 }
 
-// InFlight returns the number of requests that are worked on.
+// InFlight returns the number of requests that were received and whose responses are not yet written.
 func (l *Listener) InFlight() int {
 	count := 0
-	for _, c := range l.open() {
+	for _, c := range l.openConns() {
 		count += c.inFlight()
 	}
 	return count
 }
 
-func (l *Listener) open() []*conn {
+func (l *Listener) openConns() []*conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	open := make([]*conn, 0, len(l.conns))
+	conns := make([]*conn, 0, len(l.conns))
 	for c := range l.conns {
-		open = append(open, c)
+		conns = append(conns, c)
 	}
-	return open
+	return conns
 }
 
-// Close stops accepting, closes idle connections, and lets the others finish until ctx is done.
+// Close stops accepting connections, closes idle ones, and waits for the others to finish. When ctx is done, it aborts
+// the remaining ones.
 func (l *Listener) Close(ctx context.Context) {
 	l.Shut()
 	done := make(chan struct{})
@@ -136,24 +141,25 @@
 	}
 }
 
-// Shut stops accepting and closes idle connections. The others end with their next answer.
+// Shut stops accepting connections and closes idle ones, without waiting. The others are closed as by Drain.
 func (l *Listener) Shut() {
 	l.Drain()
-	l.shut()
-	for _, c := range l.open() {
+	l.stopAccepting()
+	for _, c := range l.openConns() {
 		c.closeIdle()
 	}
 }
 
-// Abort cuts every connection.
+// Abort stops accepting connections and closes all open ones, which cancels their requests.
 func (l *Listener) Abort() {
-	l.shut()
-	for _, c := range l.open() {
-		c.cut()
+	l.stopAccepting()
+	for _, c := range l.openConns() {
+		c.abort()
 	}
 }
 
-func (l *Listener) shut() {
+// stopAccepting closes the net.Listener.
+func (l *Listener) stopAccepting() {
 	l.closed.Store(true)
 	l.mu.Lock()
 	listener := l.listener
--- a/internal/listener/listener_test.go
+++ b/internal/listener/listener_test.go
@@ -15,11 +15,11 @@
 	"github.com/valyala/fasthttp"
 )
 
-// patience bounds what a broken listener makes a test wait; no verdict depends on less.
-const patience = 20 * time.Second
+// testTimeout limits how long a test waits for a broken listener. No check depends on a shorter time.
+const testTimeout = 20 * time.Second
 
-// serve starts a listener on loopback and returns its address.
-func serve(t *testing.T, handle Handler) (*Listener, string) {
+// startListener starts a listener on loopback and returns it with its address.
+func startListener(t *testing.T, handle Handler) (*Listener, string) {
 	t.Helper()
 	socket, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -28,15 +28,15 @@
 	l := New(Config{
 		Handle: handle,
 		Limits: func() Limits {
-			return Limits{HeaderTimeout: 200 * time.Millisecond, IdleTimeout: patience, MaxBodyBytes: 100, MaxHeaderBytes: 4096}
+			return Limits{HeaderTimeout: 200 * time.Millisecond, IdleTimeout: testTimeout, MaxBodyBytes: 100, MaxHeaderBytes: 4096}
 		},
 		Refuse: func(resp *fasthttp.Response, cause error) {
-			var network net.Error
+			var netErr net.Error
 			var small *fasthttp.ErrSmallBuffer
 			switch {
 			case errors.Is(cause, fasthttp.ErrBodyTooLarge):
 				resp.SetStatusCode(fasthttp.StatusRequestEntityTooLarge)
-			case errors.As(cause, &network) && network.Timeout():
+			case errors.As(cause, &netErr) && netErr.Timeout():
 				resp.SetStatusCode(fasthttp.StatusRequestTimeout)
 			case errors.As(cause, &small):
 				resp.SetStatusCode(fasthttp.StatusRequestHeaderFieldsTooLarge)
@@ -50,15 +50,15 @@
 	return l, socket.Addr().String()
 }
 
-// dial sends text on a new connection.
-func dial(t *testing.T, address, text string) (net.Conn, *bufio.Reader) {
+// dialAndSend opens a connection and sends text on it.
+func dialAndSend(t *testing.T, address, text string) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = conn.Close() })
-	if err := conn.SetDeadline(time.Now().Add(patience)); err != nil {
+	if err := conn.SetDeadline(time.Now().Add(testTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := io.WriteString(conn, text); err != nil {
@@ -67,172 +67,173 @@
 	return conn, bufio.NewReader(conn)
 }
 
-func read(t *testing.T, r *bufio.Reader) *fasthttp.Response {
+func readResponse(t *testing.T, r *bufio.Reader) *fasthttp.Response {
 	t.Helper()
 	resp := &fasthttp.Response{}
 	if err := resp.Read(r); err != nil {
-		t.Fatalf("reading an answer: %v", err)
+		t.Fatalf("reading a response: %v", err)
 	}
 	return resp
 }
 
-func get(path string) string {
+func getRequest(path string) string {
 	return "GET " + path + " HTTP/1.1\r\nHost: test\r\n\r\n"
 }
 
-func echo(_ context.Context, req *fasthttp.Request, resp *fasthttp.Response) {
+func echoHandler(_ context.Context, req *fasthttp.Request, resp *fasthttp.Response) {
 	resp.SetBodyString(string(req.Header.Method()) + " " + string(req.Header.RequestURI()) + " " + string(req.Body()))
 }
 
-// TestPipelinedRequestsRunSideBySide holds the first request until the second has run.
-func TestPipelinedRequestsRunSideBySide(t *testing.T) {
+// TestPipelinedGetsRunConcurrently blocks the first request until the second one has started.
+func TestPipelinedGetsRunConcurrently(t *testing.T) {
 	second := make(chan struct{})
-	_, address := serve(t, func(ctx context.Context, req *fasthttp.Request, resp *fasthttp.Response) {
+	_, address := startListener(t, func(ctx context.Context, req *fasthttp.Request, resp *fasthttp.Response) {
 		if string(req.Header.RequestURI()) == "/1" {
 			<-second
 		} else {
 			close(second)
 		}
-		echo(ctx, req, resp)
+		echoHandler(ctx, req, resp)
 	})
-	_, reader := dial(t, address, get("/1")+get("/2"))
+	_, reader := dialAndSend(t, address, getRequest("/1")+getRequest("/2"))
 	for _, want := range []string{"GET /1 ", "GET /2 "} {
-		if got := string(read(t, reader).Body()); got != want {
+		if got := string(readResponse(t, reader).Body()); got != want {
 			t.Errorf("got %q, want %q", got, want)
 		}
 	}
 }
 
-// TestRequestsWithEffectsRunInTurn sends two POST requests at once.
-func TestRequestsWithEffectsRunInTurn(t *testing.T) {
-	var running, most atomic.Int64
-	_, address := serve(t, func(ctx context.Context, req *fasthttp.Request, resp *fasthttp.Response) {
-		most.Store(max(most.Load(), running.Add(1)))
+// TestPipelinedPostsRunSequentially sends two POST requests at once, which must not run at the same time.
+func TestPipelinedPostsRunSequentially(t *testing.T) {
+	var running, maxRunning atomic.Int64
+	_, address := startListener(t, func(ctx context.Context, req *fasthttp.Request, resp *fasthttp.Response) {
+		maxRunning.Store(max(maxRunning.Load(), running.Add(1)))
 		time.Sleep(20 * time.Millisecond)
-		echo(ctx, req, resp)
+		echoHandler(ctx, req, resp)
 		running.Add(-1)
 	})
 	post := func(body string) string {
 		return fmt.Sprintf("POST / HTTP/1.1\r\nHost: test\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	}
-	_, reader := dial(t, address, post("a")+post("b"))
+	_, reader := dialAndSend(t, address, post("a")+post("b"))
 	for _, want := range []string{"POST / a", "POST / b"} {
-		if got := string(read(t, reader).Body()); got != want {
+		if got := string(readResponse(t, reader).Body()); got != want {
 			t.Errorf("got %q, want %q", got, want)
 		}
 	}
-	if most.Load() != 1 {
-		t.Errorf("%d requests ran at once", most.Load())
+	if maxRunning.Load() != 1 {
+		t.Errorf("%d requests ran at once", maxRunning.Load())
 	}
 }
 
-// TestClosedConnectionCancels closes the caller's end while its request is worked on.
-func TestClosedConnectionCancels(t *testing.T) {
-	begun, cancelled := make(chan struct{}), make(chan struct{})
-	_, address := serve(t, func(ctx context.Context, _ *fasthttp.Request, _ *fasthttp.Response) {
-		close(begun)
+// TestClosedConnectionCancelsRequest closes the caller's connection while its request runs.
+func TestClosedConnectionCancelsRequest(t *testing.T) {
+	started, cancelled := make(chan struct{}), make(chan struct{})
+	_, address := startListener(t, func(ctx context.Context, _ *fasthttp.Request, _ *fasthttp.Response) {
+		close(started)
 		<-ctx.Done()
 		close(cancelled)
 	})
-	conn, _ := dial(t, address, get("/"))
-	<-begun
+	conn, _ := dialAndSend(t, address, getRequest("/"))
+	<-started
 	if err := conn.Close(); err != nil {
 		t.Fatal(err)
 	}
 	select {
 	case <-cancelled:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Error("the request was not cancelled")
 	}
 }
 
-func TestUnreadableRequestsAreRefused(t *testing.T) {
-	_, address := serve(t, echo)
+func TestInvalidRequestsAreRefused(t *testing.T) {
+	_, address := startListener(t, echoHandler)
 	tests := []struct {
 		name, text string
 		status     int
 	}{
 		{"long header", "GET / HTTP/1.1\r\nHost: test\r\nLong: " + strings.Repeat("x", 8000) + "\r\n\r\n", 431},
 		{"large body", "POST / HTTP/1.1\r\nHost: test\r\nContent-Length: 101\r\n\r\n" + strings.Repeat("x", 101), 413},
-		{"no request", "what is this\r\n\r\n", 400},
-		{"half a header", "GET / HTTP/1.1\r\nHost: te", 408},
+		{"not HTTP", "what is this\r\n\r\n", 400},
+		{"incomplete header", "GET / HTTP/1.1\r\nHost: te", 408},
 	}
 	for _, test := range tests {
-		_, reader := dial(t, address, test.text)
-		resp := read(t, reader)
+		_, reader := dialAndSend(t, address, test.text)
+		resp := readResponse(t, reader)
 		if resp.StatusCode() != test.status || !resp.ConnectionClose() {
-			t.Errorf("%s: status %d, closes %t, want %d", test.name, resp.StatusCode(), resp.ConnectionClose(), test.status)
+			t.Errorf("%s: status %d, closes the connection: %t, want status %d", test.name, resp.StatusCode(), resp.ConnectionClose(), test.status)
 		}
 		if _, err := reader.ReadByte(); !errors.Is(err, io.EOF) {
-			t.Errorf("%s: the connection ends with %v", test.name, err)
+			t.Errorf("%s: reading after the response returned %v, want EOF", test.name, err)
 		}
 	}
 }
 
-// TestLongHeaderWithinTheLimit sends more than the first buffer holds.
-func TestLongHeaderWithinTheLimit(t *testing.T) {
-	_, address := serve(t, echo)
-	_, reader := dial(t, address, "GET /long HTTP/1.1\r\nHost: test\r\nLong: "+strings.Repeat("x", 3500)+"\r\n\r\n"+get("/next"))
+// TestLongHeaderWithinLimit sends a header that is longer than the initial read buffer.
+func TestLongHeaderWithinLimit(t *testing.T) {
+	_, address := startListener(t, echoHandler)
+	_, reader := dialAndSend(t, address, "GET /long HTTP/1.1\r\nHost: test\r\nLong: "+strings.Repeat("x", 3500)+"\r\n\r\n"+getRequest("/next"))
 	for _, want := range []string{"GET /long ", "GET /next "} {
-		if got := string(read(t, reader).Body()); got != want {
+		if got := string(readResponse(t, reader).Body()); got != want {
 			t.Errorf("got %q, want %q", got, want)
 		}
 	}
 }
 
 func TestChunkedBody(t *testing.T) {
-	_, address := serve(t, echo)
-	_, reader := dial(t, address, "POST / HTTP/1.1\r\nHost: test\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"+get("/next"))
+	_, address := startListener(t, echoHandler)
+	_, reader := dialAndSend(t, address, "POST / HTTP/1.1\r\nHost: test\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"+getRequest("/next"))
 	for _, want := range []string{"POST / abcde", "GET /next "} {
-		if got := string(read(t, reader).Body()); got != want {
+		if got := string(readResponse(t, reader).Body()); got != want {
 			t.Errorf("got %q, want %q", got, want)
 		}
 	}
 }
 
-// TestDrainEndsConnections answers what is sent on open and new connections, and ends each.
-func TestDrainEndsConnections(t *testing.T) {
-	l, address := serve(t, echo)
-	conn, reader := dial(t, address, get("/before"))
-	if resp := read(t, reader); resp.ConnectionClose() {
-		t.Error("a connection was ended before the drain")
+// TestDrainClosesConnections checks that requests on open and on new connections are answered during a drain, and that
+// each response closes its connection.
+func TestDrainClosesConnections(t *testing.T) {
+	l, address := startListener(t, echoHandler)
+	conn, reader := dialAndSend(t, address, getRequest("/before"))
+	if resp := readResponse(t, reader); resp.ConnectionClose() {
+		t.Error("the connection was closed before the drain")
 	}
 	l.Drain()
-	if _, err := io.WriteString(conn, get("/after")); err != nil {
+	if _, err := io.WriteString(conn, getRequest("/after")); err != nil {
 		t.Fatal(err)
 	}
-	if resp := read(t, reader); !resp.ConnectionClose() || string(resp.Body()) != "GET /after " {
-		t.Errorf("after the drain: %q, closes %t", resp.Body(), resp.ConnectionClose())
+	if resp := readResponse(t, reader); !resp.ConnectionClose() || string(resp.Body()) != "GET /after " {
+		t.Errorf("after the drain: body %q, closes the connection: %t", resp.Body(), resp.ConnectionClose())
 	}
-	_, reader = dial(t, address, get("/new"))
-	if resp := read(t, reader); !resp.ConnectionClose() {
-		t.Error("a new connection is kept open")
+	_, reader = dialAndSend(t, address, getRequest("/new"))
+	if resp := readResponse(t, reader); !resp.ConnectionClose() {
+		t.Error("a new connection was kept open")
 	}
 }
 
-// TestCloseFinishesWhatIsInFlight closes the listener while a request is worked on.
-func TestCloseFinishesWhatIsInFlight(t *testing.T) {
-	begun, goOn := make(chan struct{}), make(chan struct{})
-	l, address := serve(t, func(ctx context.Context, req *fasthttp.Request, resp *fasthttp.Response) {
-		close(begun)
-		<-goOn
-		echo(ctx, req, resp)
+// TestCloseWaitsForRequestsInFlight closes the listener while one connection is idle and a request runs on another.
+func TestCloseWaitsForRequestsInFlight(t *testing.T) {
+	started, proceed := make(chan struct{}), make(chan struct{})
+	l, address := startListener(t, func(ctx context.Context, req *fasthttp.Request, resp *fasthttp.Response) {
+		close(started)
+		<-proceed
+		echoHandler(ctx, req, resp)
 	})
-	idle, _ := dial(t, address, "")
-	_, reader := dial(t, address, get("/slow"))
-	<-begun
+	idle, _ := dialAndSend(t, address, "")
+	_, reader := dialAndSend(t, address, getRequest("/slow"))
+	<-started
 	closed := make(chan struct{})
 	go func() {
 		defer close(closed)
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 		defer cancel()
 		l.Close(ctx)
 	}()
 	if _, err := idle.Read(make([]byte, 1)); err == nil {
-		t.Error("an idle connection got an answer")
+		t.Error("an idle connection was not closed")
 	}
-	close(goOn)
-	if got := string(read(t, reader).Body()); got != "GET /slow " {
+	close(proceed)
+	if got := string(readResponse(t, reader).Body()); got != "GET /slow " {
 		t.Errorf("got %q", got)
 	}
 	<-closed
