--- a/internal/responder/behaviour.go
+++ b/internal/responder/behaviour.go
@@ -5,24 +5,25 @@
 	"time"
 )
 
-// Behaviour is how a stand-in upstream treats requests. It can change while it runs.
+// Behaviour determines how a stand-in upstream processes requests. It can be changed while the upstream runs.
 type Behaviour struct {
-	// FailFast answers every request with status 503 at once.
+	// FailFast makes the upstream answer every request with status 503 at once.
 	FailFast bool
-	// HealthLie makes the health endpoint say the opposite.
+	// HealthLie makes the health endpoint report that the upstream is unhealthy.
 	HealthLie bool
-	// LoadLie makes the load endpoint claim to be idle.
+	// LoadLie makes the load endpoint report that the upstream is idle.
 	LoadLie bool
-	// Service is the mean service time; times are distributed exponentially unless Steady is set.
+	// Service is the mean service time. Service times are exponentially distributed unless Steady is set.
 	Service time.Duration
-	// Slots is the number of requests that run at once; others wait inside the upstream.
+	// Slots is the number of requests that run concurrently. Further ones wait inside the upstream.
 	Slots int
-	// Steady makes every request take exactly Service.
+	// Steady makes the service time constant.
 	Steady bool
-	// StraggleFactor multiplies the service time; zero counts as 1.
+	// StraggleFactor multiplies the service time. Zero and negative factors count as 1.
 	StraggleFactor float64
 }
 
+// behaviourJSON is the encoding of a Behaviour. The service time is a Go duration string.
 type behaviourJSON struct {
 	FailFast       bool    `json:"fail-fast"`
 	HealthLie      bool    `json:"health-lie"`
@@ -41,22 +42,22 @@
 	})
 }
 
-// UnmarshalJSON implements json.Unmarshaler. Fields that are left out keep their values.
+// UnmarshalJSON implements json.Unmarshaler. Fields that are missing in data keep their values.
 func (b *Behaviour) UnmarshalJSON(data []byte) error {
-	wire := behaviourJSON{
+	decoded := behaviourJSON{
 		FailFast: b.FailFast, HealthLie: b.HealthLie, LoadLie: b.LoadLie, Service: b.Service.String(),
 		Slots: b.Slots, Steady: b.Steady, StraggleFactor: b.StraggleFactor,
 	}
-	if err := json.Unmarshal(data, &wire); err != nil {
+	if err := json.Unmarshal(data, &decoded); err != nil {
 		return err
 	}
-	service, err := time.ParseDuration(wire.Service)
+	service, err := time.ParseDuration(decoded.Service)
 	if err != nil {
 		return err
 	}
 	*b = Behaviour{
-		FailFast: wire.FailFast, HealthLie: wire.HealthLie, LoadLie: wire.LoadLie, Service: service,
-		Slots: wire.Slots, Steady: wire.Steady, StraggleFactor: wire.StraggleFactor,
+		FailFast: decoded.FailFast, HealthLie: decoded.HealthLie, LoadLie: decoded.LoadLie, Service: service,
+		Slots: decoded.Slots, Steady: decoded.Steady, StraggleFactor: decoded.StraggleFactor,
 	}
 	return nil
 }
--- a/internal/responder/journal.go
+++ b/internal/responder/journal.go
@@ -9,20 +9,21 @@
 	"sync"
 )
 
-// Journal notes each execution of a request. It is safe for concurrent use.
+// Journal counts the executions of each request by its id. It is safe for concurrent use.
 type Journal struct {
 	mu     sync.Mutex
 	counts map[string]int
 	out    io.Writer
 }
 
-// NewJournal returns a journal that also writes a line with the request id to out for each
-// execution, before it begins; out can be nil.
+// NewJournal returns an empty journal. If out is not nil, a line with the request id is written to it before each
+// execution starts.
 func NewJournal(out io.Writer) *Journal {
 	return &Journal{counts: make(map[string]int), out: out}
 }
 
-func (j *Journal) begin(id string) error {
+// recordStart records one execution of the request. The error is that of writing to out.
+func (j *Journal) recordStart(id string) error {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.counts[id]++
@@ -33,14 +34,14 @@
 	return err
 }
 
-// Count returns how often the request was executed.
+// Count returns how many times the request was executed.
 func (j *Journal) Count(id string) int {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.counts[id]
 }
 
-// ReadJournal counts the executions that a journal's file tells of.
+// ReadJournal returns the number of executions of each request id in a file that a Journal has written.
 func ReadJournal(path string) (map[string]int, error) {
 	file, err := os.Open(path)
 	if err != nil {
--- a/internal/responder/responder.go
+++ b/internal/responder/responder.go
@@ -1,5 +1,5 @@
-// Package responder is a stand-in upstream: it has slots, service times and a cold start, and it
-// straggles, fails fast, crashes and misleads on request.
+// Package responder implements a stand-in upstream: a simulated server with slots, service times and a cold start. On
+// request it straggles, fails fast, crashes, or reports false health and load.
 package responder
 
 import (
@@ -21,66 +21,76 @@
 	"github.com/marigoldrelay/marigoldrelay/pkg/announcer"
 )
 
-// Headers and paths of a stand-in upstream.
+// Headers and paths of a stand-in upstream. A request to any other path is executed.
 const (
-	// HeaderCrash in a request ends the upstream's process.
+	// HeaderCrash is set in a request to crash the upstream. Any non-empty value will do.
 	HeaderCrash = "Standin-Crash"
-	// HeaderID names a request; the answer repeats it.
+	// HeaderID is the id of a request. The response repeats it.
 	HeaderID = "Standin-Id"
-	// HeaderSize is the size of the answer's payload in bytes.
+	// HeaderSize is the requested size of the response payload in bytes, at most 8 MiB. The default is 64, also for
+	// invalid sizes.
 	HeaderSize = "Standin-Size"
-	// PathBehaviour takes a Behaviour by POST.
+	// PathBehaviour returns the current Behaviour as JSON. A POST request changes it first.
 	PathBehaviour = "/standin/behaviour"
-	// PathHealth and PathLoad are the hints that are announced.
+	// PathHealth and PathLoad are the health and load endpoints that are announced to the node.
 	PathHealth = "/standin/health"
 	PathLoad   = "/standin/load"
 )
 
 const (
-	defaultSize     = 64
-	maxSize         = 8 << 20
+	defaultPayloadBytes = 64
+	maxPayloadBytes     = 8 << 20
+	// shutdownTimeout limits Drain.
 	shutdownTimeout = 10 * time.Second
-	drainTime       = 3 * time.Second
-	lingerTime      = time.Second
+	// drainGracePeriod is how long requests may still arrive after draining was announced.
+	drainGracePeriod = 3 * time.Second
+	// lateRequestWindow is how long Drain waits after drainGracePeriod to detect late requests.
+	lateRequestWindow = time.Second
 )
 
-// ErrLateRequest is wrapped by the error of Drain.
+// ErrLateRequest is wrapped by the error of Drain when a request arrived after the grace period.
 var ErrLateRequest = merry.Sentinel("a new request reached a draining upstream")
 
-// Config is what a stand-in upstream is built from.
+// Config holds the settings and dependencies of a Responder.
 type Config struct {
+	// Behaviour is the initial behaviour.
 	Behaviour Behaviour
-	// ColdStart is how long the upstream says that it is starting.
+	// ColdStart is how long the upstream stays in the starting state.
 	ColdStart time.Duration
-	Journal   *Journal
-	Node      netip.AddrPort
-	// OnCrash ends the upstream's process, or what stands for it. It does not return normally.
+	// Journal records the executions of requests.
+	Journal *Journal
+	// Node is the address of the node that the upstream announces itself to.
+	Node netip.AddrPort
+	// OnCrash is called for a request with HeaderCrash. It ends the process, or simulates that with Crash.
 	OnCrash func()
-	Seed    uint64
+	// Seed is the seed of the random service times.
+	Seed uint64
+	// Service is the name of the announced service.
 	Service string
 }
 
-// Responder is one stand-in upstream.
+// Responder is one stand-in upstream. Its methods are safe for concurrent use after Start.
 type Responder struct {
-	announcer *announcer.Announcer
-	config    Config
-	listener  net.Listener
-	server    *fasthttp.Server
-	stop      context.CancelFunc
-	stopped   sync.WaitGroup
+	announcer  *announcer.Announcer
+	config     Config
+	listener   net.Listener
+	server     *fasthttp.Server
+	stop       context.CancelFunc
+	goroutines sync.WaitGroup
 
-	mu        sync.Mutex
-	behaviour Behaviour
-	freed     *sync.Cond
-	lastNew   time.Time
-	random    *rand.Rand
-	running   int
-	crashed   atomic.Bool
-	draining  atomic.Bool
-	tracker   *conntracker.Tracker
+	mu          sync.Mutex
+	behaviour   Behaviour
+	slotFreed   *sync.Cond
+	lastArrival time.Time
+	random      *rand.Rand
+	running     int
+	crashed     atomic.Bool
+	draining    atomic.Bool
+	tracker     *conntracker.Tracker
 }
 
-// New returns a stand-in upstream that will serve on listener.
+// New returns a stand-in upstream that serves on listener once it is started. It returns an error if the address of
+// listener is not an IP and port.
 func New(listener net.Listener, config Config) (*Responder, error) {
 	address, err := netip.ParseAddrPort(listener.Addr().String())
 	if err != nil {
@@ -92,7 +102,7 @@
 		listener:  listener,
 		random:    rand.New(rand.NewPCG(config.Seed, config.Seed)),
 	}
-	r.freed = sync.NewCond(&r.mu)
+	r.slotFreed = sync.NewCond(&r.mu)
 	r.announcer = announcer.New(config.Node, announcer.Announcement{
 		Address:    address.String(),
 		HealthPath: PathHealth,
@@ -107,26 +117,28 @@
 		ConnState:          r.tracker.Follow,
 		Handler:            r.serve,
 		IdleTimeout:        time.Minute,
-		Logger:             silent{},
-		MaxRequestBodySize: maxSize,
+		Logger:             discardLogger{},
+		MaxRequestBodySize: maxPayloadBytes,
 	}
 	return r, nil
 }
 
-type silent struct{}
+// discardLogger discards the HTTP server's log messages.
+type discardLogger struct{}
 
 // Printf implements fasthttp.Logger.
-func (silent) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
-// Start serves and announces the upstream until Stop.
+// Start serves requests and announces the upstream in the background until Stop or Crash.
 func (r *Responder) Start() {
 	ctx, stop := context.WithCancel(context.Background())
 	r.stop = stop
-	r.stopped.Go(func() { _ = r.server.Serve(r.listener) })
-	r.stopped.Go(func() { r.announcer.Run(ctx) })
-	r.stopped.Go(func() { r.warmUp(ctx) })
+	r.goroutines.Go(func() { _ = r.server.Serve(r.listener) })
+	r.goroutines.Go(func() { r.announcer.Run(ctx) })
+	r.goroutines.Go(func() { r.warmUp(ctx) })
 }
 
+// warmUp announces the ready state after the cold start, unless the upstream drains by then.
 func (r *Responder) warmUp(ctx context.Context) {
 	select {
 	case <-ctx.Done():
@@ -136,40 +148,40 @@
 	if r.draining.Load() {
 		return
 	}
-	// Run goes on announcing the state where this first try does not reach the node.
+	// If this attempt does not reach the node, Run retries.
 	_ = r.announcer.Announce(ctx, announcer.StateReady)
 }
 
-// Drain announces that the upstream leaves, waits until no request is in flight or to be expected,
-// and announces that it has gone. It returns ErrLateRequest when a request came later than it
-// should.
+// Drain announces the draining state, waits until no request is running and none is expected any more, and announces
+// the gone state. It gives up waiting after 10 seconds. The error wraps ErrLateRequest if a request arrived more than 3
+// seconds after draining was announced.
 func (r *Responder) Drain() error {
 	r.draining.Store(true)
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	_ = r.announcer.Announce(ctx, announcer.StateDraining)
 	started := time.Now()
-	for ctx.Err() == nil && (r.Running() > 0 || time.Since(started) < drainTime+lingerTime) {
+	for ctx.Err() == nil && (r.Running() > 0 || time.Since(started) < drainGracePeriod+lateRequestWindow) {
 		time.Sleep(10 * time.Millisecond)
 	}
 	_ = r.announcer.Announce(ctx, announcer.StateGone)
-	if late := r.LastNew().Sub(started); late > drainTime {
+	if late := r.LastArrival().Sub(started); late > drainGracePeriod {
 		return fmt.Errorf("%w: %s after draining was announced", ErrLateRequest, late)
 	}
 	return nil
 }
 
-// Stop ends the upstream. Drain comes first in an orderly shutdown.
+// Stop stops serving and announcing, and waits for both to end. Call Drain first for a graceful shutdown.
 func (r *Responder) Stop() {
 	r.stop()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	_ = r.server.ShutdownWithContext(ctx)
-	r.stopped.Wait()
+	r.goroutines.Wait()
 }
 
-// Crash ends the upstream as a killed process would: every connection is cut and nothing is
-// announced any more.
+// Crash simulates a killed process: it closes the listener and every connection, and stops announcing. Further calls have no
+// effect.
 func (r *Responder) Crash() {
 	if r.crashed.Swap(true) {
 		return
@@ -179,29 +191,29 @@
 	r.tracker.Cut()
 }
 
-// Running returns the number of requests in the upstream.
+// Running returns the number of requests that hold a slot.
 func (r *Responder) Running() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.running
 }
 
-// LastNew returns when the newest request began.
-func (r *Responder) LastNew() time.Time {
+// LastArrival returns when the latest request arrived, or the zero time if there was none.
+func (r *Responder) LastArrival() time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.lastNew
+	return r.lastArrival
 }
 
-// SetBehaviour changes the behaviour.
+// SetBehaviour replaces the behaviour. It applies to requests that have not started yet.
 func (r *Responder) SetBehaviour(b Behaviour) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.behaviour = b
-	r.freed.Broadcast()
+	r.slotFreed.Broadcast()
 }
 
-// Behaviour returns the behaviour.
+// Behaviour returns the current behaviour.
 func (r *Responder) Behaviour() Behaviour {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -217,7 +229,7 @@
 	case PathLoad:
 		r.serveLoad(ctx)
 	default:
-		r.serveWork(ctx)
+		r.serveRequest(ctx)
 	}
 }
 
@@ -252,7 +264,8 @@
 	ctx.SetBodyString(fmt.Sprintf(`{"running":%d}`, running))
 }
 
-func (r *Responder) serveWork(ctx *fasthttp.RequestCtx) {
+// serveRequest executes a request that is not for one of the stand-in's own endpoints.
+func (r *Responder) serveRequest(ctx *fasthttp.RequestCtx) {
 	if len(ctx.Request.Header.Peek(HeaderCrash)) > 0 {
 		r.config.OnCrash()
 		return
@@ -262,36 +275,37 @@
 		return
 	}
 	id := string(ctx.Request.Header.Peek(HeaderID))
-	if err := r.config.Journal.begin(id); err != nil {
+	if err := r.config.Journal.recordStart(id); err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusInternalServerError)
 		return
 	}
-	r.work()
+	r.execute()
 	size, err := strconv.Atoi(string(ctx.Request.Header.Peek(HeaderSize)))
-	if err != nil || size < 0 || size > maxSize {
-		size = defaultSize
+	if err != nil || size < 0 || size > maxPayloadBytes {
+		size = defaultPayloadBytes
 	}
 	ctx.Response.Header.Set(HeaderID, id)
 	ctx.SetBody(Answer(id, size))
 }
 
-// work takes a slot for one service time.
-func (r *Responder) work() {
+// execute waits for a free slot and occupies it for one service time.
+func (r *Responder) execute() {
 	r.mu.Lock()
-	r.lastNew = time.Now()
+	r.lastArrival = time.Now()
 	for r.running >= r.behaviour.Slots {
-		r.freed.Wait()
+		r.slotFreed.Wait()
 	}
 	r.running++
-	taken := r.serviceTime()
+	duration := r.serviceTime()
 	r.mu.Unlock()
-	time.Sleep(taken)
+	time.Sleep(duration)
 	r.mu.Lock()
 	r.running--
 	r.mu.Unlock()
-	r.freed.Signal()
+	r.slotFreed.Signal()
 }
 
+// serviceTime returns the service time of the next request. It is called with mu held.
 func (r *Responder) serviceTime() time.Duration {
 	factor := r.behaviour.StraggleFactor
 	if factor <= 0 {
