--- a/internal/refuser/refuser.go
+++ b/internal/refuser/refuser.go
@@ -1,4 +1,4 @@
-// Package refuser defines why a request is refused and how a caller is told.
+// Package refuser defines the reasons for refusing a request and the HTTP response that reports a refusal.
 package refuser
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/marigoldrelay/marigoldrelay/internal/interpreter"
 )
 
-// Reason names the cause of a refusal. Reasons are kebab-case and label a metric counter each.
+// Reason is the cause of a refusal, in kebab-case. Each one is a label value of a metric counter.
 type Reason string
 
 // The reasons for which a request is refused.
@@ -38,7 +38,7 @@
 	ReasonUpstreamLost   Reason = "upstream-lost"
 )
 
-// Reasons returns every reason in alphabetical order.
+// Reasons returns all reasons in alphabetical order.
 func Reasons() []Reason {
 	return []Reason{
 		ReasonBadRequest, ReasonBodyTooLarge, ReasonBusy, ReasonCancelled, ReasonDeadline, ReasonDraining,
@@ -48,21 +48,21 @@
 	}
 }
 
-// NotRun says whether a refused request is known not to have run.
+// NotRun tells whether a refused request is known not to have run.
 type NotRun string
 
 // The values of NotRun.
 const (
 	NotRunFalse   NotRun = "false"
 	NotRunTrue    NotRun = "true"
-	NotRunUnknown NotRun = "unknown"
+	NotRunUnknown NotRun = "unknown" // The request may have run.
 )
 
-// Refusal is the typed error that ends a request without an answer of its upstream.
+// Refusal is the error with which a request ends that gets no response from its upstream.
 type Refusal struct {
 	Reason     Reason
 	NotRun     NotRun
-	RetryAfter time.Duration // Zero where a later try can't help.
+	RetryAfter time.Duration // Zero if a later retry can't help.
 	Detail     string
 }
 
@@ -71,8 +71,7 @@
 	return &Refusal{Reason: reason, NotRun: NotRunTrue, Detail: detail}
 }
 
-// Later returns a refusal of a request that is known not to have run, with the time after which a
-// later try can help.
+// Later returns a refusal of a request that is known not to have run, with the time after which a retry can succeed.
 func Later(reason Reason, retryAfter time.Duration, detail string) *Refusal {
 	return &Refusal{Reason: reason, NotRun: NotRunTrue, RetryAfter: retryAfter, Detail: detail}
 }
@@ -82,7 +81,7 @@
 	return &Refusal{Reason: reason, NotRun: NotRunUnknown, Detail: detail}
 }
 
-// Error implements error.
+// Error implements error. The text is the reason and the detail.
 func (r *Refusal) Error() string {
 	return string(r.Reason) + ": " + r.Detail
 }
@@ -92,7 +91,8 @@
 	return r.NotRun == NotRunTrue
 }
 
-// Status returns the HTTP status code of the refusal.
+// Status returns the HTTP status code of the refusal. For some reasons it depends on whether the request is known not
+// to have run: 503 if so, 504 or 502 otherwise.
 func (r *Refusal) Status() int {
 	switch r.Reason {
 	case ReasonBadRequest:
@@ -126,7 +126,7 @@
 	}
 }
 
-// Problem is the body of a refusal as application/problem+json (RFC 9457).
+// Problem is the body of the response to a refused request, as application/problem+json (RFC 9457).
 type Problem struct {
 	Title  string `json:"title"`
 	Status int    `json:"status"`
@@ -135,21 +135,22 @@
 	Detail string `json:"detail,omitempty"`
 }
 
-// ContentType is the media type of a refusal's body.
+// ContentType is the media type of a Problem.
 const ContentType = "application/problem+json"
 
-// Write replaces resp by the refusal. Retry-After is in whole seconds, rounded up.
+// Write replaces resp with the refusal's response. Its Retry-After header is in whole seconds, rounded up.
 func (r *Refusal) Write(resp *fasthttp.Response) {
 	r.WriteWith(resp, interpreter.Native{}.FormatRetryAfter)
 }
 
-// WriteWith replaces resp by the refusal, with Retry-After as format writes it.
-func (r *Refusal) WriteWith(resp *fasthttp.Response, format func(time.Duration) string) {
+// WriteWith replaces resp with the refusal's response. The Retry-After header is formatted by formatRetryAfter; there is
+// none if RetryAfter is zero.
+func (r *Refusal) WriteWith(resp *fasthttp.Response, formatRetryAfter func(time.Duration) string) {
 	resp.Reset()
 	resp.SetStatusCode(r.Status())
 	resp.Header.SetContentType(ContentType)
 	if r.RetryAfter > 0 {
-		resp.Header.Set(fasthttp.HeaderRetryAfter, format(r.RetryAfter))
+		resp.Header.Set(fasthttp.HeaderRetryAfter, formatRetryAfter(r.RetryAfter))
 	}
 	problem := Problem{
 		Title:  "request refused",
