--- a/internal/messenger/bench_test.go
+++ b/internal/messenger/bench_test.go
@@ -11,32 +11,34 @@
 	"github.com/marigoldrelay/marigoldrelay/internal/signer"
 )
 
-type byteCount struct {
-	sent atomic.Int64
+// byteCounter is a Meter that adds up the sent bytes.
+type byteCounter struct {
+	bytesSent atomic.Int64
 }
 
 // Count implements Meter.
-func (c *byteCount) Count(_ string, bytes int) {
-	c.sent.Add(int64(bytes))
+func (c *byteCounter) Count(_ string, bytes int) {
+	c.bytesSent.Add(int64(bytes))
 }
 
-type pull struct {
+// message is both the request and the response of the benchmark.
+type message struct {
 	From  string `json:"from"`
 	Grant uint64 `json:"grant"`
 }
 
-// BenchmarkCall measures one call with its answer over loopback, both ends in this process.
+// BenchmarkCall measures one call and its response over loopback, with both ends in this process.
 func BenchmarkCall(b *testing.B) {
 	key, err := signer.New([]byte("a key for the tests only"))
 	if err != nil {
 		b.Fatal(err)
 	}
-	var count byteCount
-	server, client := New(key, &count), New(key, &count)
+	var counter byteCounter
+	server, client := New(key, &counter), New(key, &counter)
 	defer server.Close()
 	defer client.Close()
 	server.Handle("pull", func(_ context.Context, raw json.RawMessage) (any, error) {
-		var p pull
+		var p message
 		return p, json.Unmarshal(raw, &p)
 	})
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -48,10 +50,10 @@
 	b.ReportAllocs()
 	b.ResetTimer()
 	for range b.N {
-		var reply pull
-		if err := client.Call(b.Context(), to, PurposeBinding, "pull", pull{"a-node-name", 123456}, &reply); err != nil {
+		var reply message
+		if err := client.Call(b.Context(), to, PurposeBinding, "pull", message{"a-node-name", 123456}, &reply); err != nil {
 			b.Fatal(err)
 		}
 	}
-	b.ReportMetric(float64(count.sent.Load())/float64(b.N), "sent-B/op")
+	b.ReportMetric(float64(counter.bytesSent.Load())/float64(b.N), "sent-B/op")
 }
--- a/internal/messenger/messenger.go
+++ b/internal/messenger/messenger.go
@@ -1,4 +1,4 @@
-// Package messenger carries control messages between nodes as JSON-RPC 2.0 over authenticated TCP.
+// Package messenger sends control messages between nodes, as JSON-RPC 2.0 over authenticated TCP connections.
 package messenger
 
 import (
@@ -18,17 +18,18 @@
 	"github.com/marigoldrelay/marigoldrelay/internal/signer"
 )
 
-// Purpose is what a connection's bytes are metered under.
+// Purpose is the kind of control traffic under which a connection's bytes are metered. There is a separate connection
+// for each purpose.
 type Purpose byte
 
-// The purposes.
+// The purposes, as handshakes encode them.
 const (
 	PurposeBinding Purpose = iota + 1
 	PurposeConfiguration
 	PurposeMembership
 )
 
-// String implements fmt.Stringer.
+// String implements fmt.Stringer. The text is the purpose that Meter.Count is called with.
 func (p Purpose) String() string {
 	switch p {
 	case PurposeBinding:
@@ -42,28 +43,31 @@
 	}
 }
 
-// Errors of Messenger.Call.
+// Errors of Messenger.Call and Messenger.Notify.
 var (
-	ErrClosed      = merry.Sentinel("messenger closed")
+	// ErrClosed is returned after Close.
+	ErrClosed = merry.Sentinel("messenger closed")
+	// ErrUnreachable is wrapped by the error when the message could not be sent or no response came.
 	ErrUnreachable = merry.Sentinel("peer unreachable")
 )
 
 const (
 	dialTimeout = time.Second
+	// callTimeout limits a call or notification, including the time for connecting.
 	callTimeout = 2 * time.Second
 )
 
-// Handler answers one method. Its result is encoded as JSON. An error of the type
-// *jsonrpc2.Error reaches the caller with its code and data.
+// Handler handles the calls of one method. The result is encoded as JSON. An error of type *jsonrpc2.Error is sent to
+// the caller with its code and data.
 type Handler func(ctx context.Context, params json.RawMessage) (any, error)
 
 // Meter counts the bytes of control traffic.
 type Meter interface {
-	// Count adds bytes that were sent for a purpose.
+	// Count adds the number of bytes sent for a purpose.
 	Count(purpose string, bytes int)
 }
 
-// Messenger is both ends of control connections. It is safe for concurrent use.
+// Messenger accepts control connections, and opens one for each peer address and purpose. It is safe for concurrent use.
 type Messenger struct {
 	handlers map[string]Handler
 	key      *signer.Signer
@@ -72,39 +76,40 @@
 	mu       sync.Mutex
 	accepted map[*jsonrpc2.Conn]struct{}
 	closed   bool
-	conns    map[endpoint]*link
+	outgoing map[endpoint]*outgoingConn
 	listener net.Listener
 }
 
+// endpoint identifies an outgoing connection.
 type endpoint struct {
 	address netip.AddrPort
 	purpose Purpose
 }
 
-// link is one outgoing connection; ready is closed when it is open or has failed.
-type link struct {
+// outgoingConn is one outgoing connection. When ready is closed, either conn or err is set.
+type outgoingConn struct {
 	conn  *jsonrpc2.Conn
 	err   error
 	ready chan struct{}
 }
 
-// New returns a messenger. Handle must be called before Serve.
+// New returns a messenger that signs with key and counts the sent bytes with meter. Handle must be called before Serve.
 func New(key *signer.Signer, meter Meter) *Messenger {
 	return &Messenger{
 		accepted: make(map[*jsonrpc2.Conn]struct{}),
-		conns:    make(map[endpoint]*link),
+		outgoing: make(map[endpoint]*outgoingConn),
 		handlers: make(map[string]Handler),
 		key:      key,
 		meter:    meter,
 	}
 }
 
-// Handle registers the handler of a method.
+// Handle registers the handler of a method. It must not be called after Serve, Call or Notify.
 func (m *Messenger) Handle(method string, handler Handler) {
 	m.handlers[method] = handler
 }
 
-// Serve accepts connections until Close.
+// Serve accepts connections and serves their calls until Close.
 func (m *Messenger) Serve(listener net.Listener) {
 	m.mu.Lock()
 	m.listener = listener
@@ -118,17 +123,18 @@
 			time.Sleep(10 * time.Millisecond)
 			continue
 		}
-		go m.accept(raw)
+		go m.serveConn(raw)
 	}
 }
 
-func (m *Messenger) accept(raw net.Conn) {
+// serveConn authenticates an accepted connection and serves its calls until it is closed.
+func (m *Messenger) serveConn(raw net.Conn) {
 	purpose, err := handshakeServer(raw, m.key)
 	if err != nil {
 		_ = raw.Close()
 		return
 	}
-	conn := m.open(raw, purpose)
+	conn := m.newConn(raw, purpose)
 	m.mu.Lock()
 	closed := m.closed
 	m.accepted[conn] = struct{}{}
@@ -142,13 +148,15 @@
 	m.mu.Unlock()
 }
 
-func (m *Messenger) open(raw net.Conn, purpose Purpose) *jsonrpc2.Conn {
+// newConn returns a JSON-RPC connection over raw. Its calls are handled concurrently.
+func (m *Messenger) newConn(raw net.Conn, purpose Purpose) *jsonrpc2.Conn {
 	metered := &meteredConn{Conn: raw, meter: m.meter, purpose: purpose.String()}
 	stream := jsonrpc2.NewPlainObjectStream(metered)
 	handler := jsonrpc2.AsyncHandler(jsonrpc2.HandlerWithError(m.dispatch).SuppressErrClosed())
 	return jsonrpc2.NewConn(context.Background(), stream, handler, jsonrpc2.SetLogger(logger.Silent{}))
 }
 
+// dispatch calls the handler of the requested method.
 func (m *Messenger) dispatch(ctx context.Context, _ *jsonrpc2.Conn, req *jsonrpc2.Request) (any, error) {
 	handler, ok := m.handlers[req.Method]
 	if !ok {
@@ -161,8 +169,8 @@
 	return handler(ctx, params)
 }
 
-// Call sends a request and decodes the answer into result. The error wraps ErrUnreachable when no
-// answer came; the peer may have run the method all the same.
+// Call calls a method of the peer and decodes the response into result. The error wraps ErrUnreachable if no response
+// came; the peer may have run the method all the same. An error of the peer's handler is returned as *jsonrpc2.Error.
 func (m *Messenger) Call(ctx context.Context, to netip.AddrPort, purpose Purpose, method string, params, result any) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -171,16 +179,16 @@
 		return err
 	}
 	err = conn.Call(ctx, method, params, result)
-	var answered *jsonrpc2.Error
-	if err == nil || errors.As(err, &answered) {
+	var rpcErr *jsonrpc2.Error
+	if err == nil || errors.As(err, &rpcErr) {
 		return err
 	}
-	// An overdue answer can mean a connection that went silent: the next call opens a new one.
-	m.drop(endpoint{to, purpose}, conn)
+	// A missing response can mean that the connection is dead. The next call opens a new one.
+	m.closeOutgoing(endpoint{to, purpose}, conn)
 	return fmt.Errorf("%w: %s: %s: %w", ErrUnreachable, to, method, err)
 }
 
-// Notify sends a message without an answer.
+// Notify sends a message to which the peer does not respond. The error wraps ErrUnreachable if it could not be sent.
 func (m *Messenger) Notify(ctx context.Context, to netip.AddrPort, purpose Purpose, method string, params any) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -189,38 +197,40 @@
 		return err
 	}
 	if err := conn.Notify(ctx, method, params); err != nil {
-		m.drop(endpoint{to, purpose}, conn)
+		m.closeOutgoing(endpoint{to, purpose}, conn)
 		return fmt.Errorf("%w: %s: %s: %w", ErrUnreachable, to, method, err)
 	}
 	return nil
 }
 
+// connect returns the connection to an endpoint and dials it if there is none. Concurrent callers share one dial.
 func (m *Messenger) connect(ctx context.Context, to endpoint) (*jsonrpc2.Conn, error) {
 	m.mu.Lock()
 	if m.closed {
 		m.mu.Unlock()
 		return nil, ErrClosed
 	}
-	l, ok := m.conns[to]
+	out, ok := m.outgoing[to]
 	if !ok {
-		l = &link{ready: make(chan struct{})}
-		m.conns[to] = l
-		go m.dial(to, l)
+		out = &outgoingConn{ready: make(chan struct{})}
+		m.outgoing[to] = out
+		go m.dial(to, out)
 	}
 	m.mu.Unlock()
 	select {
-	case <-l.ready:
+	case <-out.ready:
 	case <-ctx.Done():
 		return nil, fmt.Errorf("%w: %s: %w", ErrUnreachable, to.address, ctx.Err())
 	}
-	if l.err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrUnreachable, l.err)
+	if out.err != nil {
+		return nil, fmt.Errorf("%w: %w", ErrUnreachable, out.err)
 	}
-	return l.conn, nil
+	return out.conn, nil
 }
 
-func (m *Messenger) dial(to endpoint, l *link) {
-	defer close(l.ready)
+// dial opens and authenticates the connection out, which is removed when it fails or disconnects.
+func (m *Messenger) dial(to endpoint, out *outgoingConn) {
+	defer close(out.ready)
 	raw, err := net.DialTimeout("tcp", to.address.String(), dialTimeout)
 	if err == nil {
 		err = handshakeClient(raw, m.key, to.purpose)
@@ -229,48 +239,51 @@
 		}
 	}
 	if err != nil {
-		l.err = err
-		m.forget(to, l)
+		out.err = err
+		m.removeOutgoing(to, out)
 		return
 	}
-	l.conn = m.open(raw, to.purpose)
+	out.conn = m.newConn(raw, to.purpose)
 	go func() {
-		<-l.conn.DisconnectNotify()
-		m.forget(to, l)
+		<-out.conn.DisconnectNotify()
+		m.removeOutgoing(to, out)
 	}()
 }
 
-func (m *Messenger) forget(to endpoint, l *link) {
+// removeOutgoing removes out, unless another connection has replaced it.
+func (m *Messenger) removeOutgoing(to endpoint, out *outgoingConn) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.conns[to] == l {
-		delete(m.conns, to)
+	if m.outgoing[to] == out {
+		delete(m.outgoing, to)
 	}
 }
 
-func (m *Messenger) drop(to endpoint, conn *jsonrpc2.Conn) {
+// closeOutgoing closes conn and removes it, unless another connection has replaced it.
+func (m *Messenger) closeOutgoing(to endpoint, conn *jsonrpc2.Conn) {
 	m.mu.Lock()
-	if l := m.conns[to]; l != nil && l.conn == conn {
-		delete(m.conns, to)
+	if out := m.outgoing[to]; out != nil && out.conn == conn {
+		delete(m.outgoing, to)
 	}
 	m.mu.Unlock()
 	_ = conn.Close()
 }
 
-// Close ends the listener and every connection.
+// Close closes the listener and every connection except those that are still being dialled. Further calls return
+// ErrClosed.
 func (m *Messenger) Close() {
 	m.mu.Lock()
 	m.closed = true
 	listener := m.listener
-	var open []*jsonrpc2.Conn
+	var openConns []*jsonrpc2.Conn
 	for conn := range m.accepted {
-		open = append(open, conn)
+		openConns = append(openConns, conn)
 	}
-	for _, l := range m.conns {
+	for _, out := range m.outgoing {
 		select {
-		case <-l.ready:
-			if l.conn != nil {
-				open = append(open, l.conn)
+		case <-out.ready:
+			if out.conn != nil {
+				openConns = append(openConns, out.conn)
 			}
 		default:
 		}
@@ -279,21 +292,22 @@
 	if listener != nil {
 		_ = listener.Close()
 	}
-	for _, conn := range open {
+	for _, conn := range openConns {
 		_ = conn.Close()
 	}
 }
 
-// segmentHeaderBytes is the size of the IP and TCP headers that a message's segment adds.
+// segmentHeaderBytes is the size of the IP and TCP headers of the segment that carries a message.
 const segmentHeaderBytes = 40
 
+// meteredConn counts the bytes that are written to a connection.
 type meteredConn struct {
 	net.Conn
 	meter   Meter
 	purpose string
 }
 
-// Write implements net.Conn. The bytes sent are metered with their headers.
+// Write implements net.Conn. It counts the sent bytes and the headers of one segment.
 func (c *meteredConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.meter.Count(c.purpose, n+segmentHeaderBytes)
