--- a/internal/interpreter/interpreter.go
+++ b/internal/interpreter/interpreter.go
@@ -1,5 +1,5 @@
-// Package interpreter reads and writes what callers, nodes and upstreams tell each other in HTTP
-// headers. Native speaks the project's own headers; a platform brings its own Interpreter.
+// Package interpreter reads and writes the HTTP headers that carry metadata between callers, nodes and upstreams.
+// Native uses the project's own headers; a platform provides an Interpreter of its own.
 package interpreter
 
 import (
@@ -12,74 +12,75 @@
 	"github.com/valyala/fasthttp"
 )
 
-// ErrInvalid is wrapped by the error of a header that can't be read.
+// ErrInvalid is wrapped by the error for a header with an invalid value.
 var ErrInvalid = merry.Sentinel("invalid header")
 
-// Request is what a caller's headers say of its request.
+// Request is the metadata in the headers of a caller's request.
 type Request struct {
-	// ID identifies the request over all nodes; empty where the caller gave none.
+	// ID identifies the request on all nodes; empty if the caller did not set one.
 	ID string
-	// Parent is the id of the request that an upstream makes this one for; empty where the id does not
-	// tell.
+	// Parent is the id of the request for which an upstream makes this one; empty if the id does not contain it.
 	Parent string
-	// Timeout is how long the caller waits; zero where it does not say.
+	// Timeout is how long the caller waits; zero if it did not say.
 	Timeout time.Duration
 }
 
-// Hop is what a node tells the upstream beside it with a request.
+// Hop is the metadata that a node adds to a request to the upstream on its VM.
 type Hop struct {
-	// Caller is the service on the VM where the request began.
+	// Caller is the service on the VM where the request originated.
 	Caller string
-	// Instance is the upstream's instance that the request is meant for.
+	// Instance is the instance of the upstream for which the request is intended.
 	Instance string
-	// Timeout is how long an answer is of use.
+	// Timeout is how long a response is still useful.
 	Timeout time.Duration
 }
 
 // Load is an upstream's own view of its load.
 type Load struct {
-	Queued  int
-	Running int
+	Queued  int // Requests.
+	Running int // Requests.
 	Slots   int
-	// Slowdown is how much longer than usual work takes at the moment; 1 means as usual.
+	// Slowdown is the current service time relative to the usual one; at least 1, which means as usual.
 	Slowdown float64
 }
 
-// Answer is what an upstream's headers say of its answer.
+// Answer is the metadata in the headers of an upstream's response.
 type Answer struct {
-	// ID is that of the request that is answered; empty where the upstream does not say.
+	// ID is the id of the request that was answered; empty if the upstream did not set it.
 	ID string
-	// Instance is the upstream's instance; empty where the upstream does not say.
+	// Instance is the upstream's instance; empty if the upstream did not set it.
 	Instance string
-	// HasLoad is true where the upstream tells its load.
+	// HasLoad reports whether the upstream sent its load, in Load.
 	HasLoad bool
 	Load    Load
-	// NotRun is true where the upstream states that it has not run the request.
+	// NotRun reports whether the upstream states that it has not run the request.
 	NotRun bool
-	// Unsealed is true for a success that lacks the upstream's proof of origin.
+	// Unsealed reports whether a successful response lacks the upstream's proof of origin.
 	Unsealed bool
 }
 
-// Headers of the project's own interface.
+// The project's own headers.
 const (
-	// HeaderInstance names the upstream's instance in requests and answers.
+	// HeaderInstance is the upstream's instance, in requests and responses.
 	HeaderInstance = "Marigoldrelay-Instance"
-	// HeaderLoad tells an upstream's load: running, queued, slots and slowdown in percent.
+	// HeaderLoad is an upstream's load, as ParseLoad reads it: running, queued, slots and slowdown in percent.
 	HeaderLoad = "Marigoldrelay-Upstream-Load"
-	// HeaderNotRun is "true" in answers to requests that the upstream has not run.
+	// HeaderNotRun is "true" in responses to requests that the upstream has not run.
 	HeaderNotRun = "Marigoldrelay-Not-Run"
-	// HeaderRequest identifies a request and its answer.
+	// HeaderRequest identifies a request and its response.
 	HeaderRequest = "Marigoldrelay-Request"
-	// HeaderTimeout shortens the route's deadline, in decimal seconds.
+	// HeaderTimeout shortens the route's deadline. It is a timeout in decimal seconds.
 	HeaderTimeout = "Request-Timeout"
 )
 
-const maxTimeout = 1e6 // Seconds.
+// maxTimeoutSeconds is the value of HeaderTimeout from which ReadRequest rejects it.
+const maxTimeoutSeconds = 1e6
 
-// Native speaks the project's own headers.
+// Native reads and writes the project's own headers.
 type Native struct{}
 
-// ReadRequest returns what the caller says. The error wraps ErrInvalid.
+// ReadRequest returns the metadata of a caller's request, of which only the timeout has a header. The error wraps
+// ErrInvalid if the timeout is not above 0 and below 1,000,000 seconds.
 func (Native) ReadRequest(header *fasthttp.RequestHeader) (Request, error) {
 	request := Request{}
 	text := string(header.Peek(HeaderTimeout))
@@ -87,14 +88,14 @@
 		return request, nil
 	}
 	seconds, err := strconv.ParseFloat(text, 64)
-	if err != nil || !(seconds > 0 && seconds < maxTimeout) {
+	if err != nil || !(seconds > 0 && seconds < maxTimeoutSeconds) {
 		return request, merry.Prepend(ErrInvalid, HeaderTimeout+": want decimal seconds above zero")
 	}
 	request.Timeout = time.Duration(seconds * float64(time.Second))
 	return request, nil
 }
 
-// WriteHop tells the upstream what it needs to know of the request.
+// WriteHop sets the headers of a request to an upstream: the instance unless it is empty, and the timeout.
 func (Native) WriteHop(header *fasthttp.RequestHeader, hop Hop) {
 	if hop.Instance != "" {
 		header.Set(HeaderInstance, hop.Instance)
@@ -102,7 +103,7 @@
 	header.Set(HeaderTimeout, strconv.FormatFloat(hop.Timeout.Seconds(), 'f', 3, 64))
 }
 
-// ReadAnswer returns what the upstream says.
+// ReadAnswer returns the metadata of an upstream's response.
 func (Native) ReadAnswer(header *fasthttp.ResponseHeader) Answer {
 	answer := Answer{
 		ID:       string(header.Peek(HeaderRequest)),
@@ -113,12 +114,13 @@
 	return answer
 }
 
-// FormatRetryAfter returns whole seconds, rounded up (RFC 9110, section 10.2.3).
+// FormatRetryAfter returns the value of a Retry-After header: whole seconds, rounded up (RFC 9110, section 10.2.3).
 func (Native) FormatRetryAfter(d time.Duration) string {
 	return strconv.Itoa(int(math.Ceil(d.Seconds())))
 }
 
-// ParseLoad reads running, queued, slots and, if there, the slowdown in percent, separated by commas.
+// ParseLoad parses comma-separated numbers: running, queued, slots and, optionally, the slowdown in percent, which
+// counts as at least 100. It reports whether text is valid.
 func ParseLoad(text string) (Load, bool) {
 	parts := strings.Split(text, ",")
 	if len(parts) < 3 {
--- a/internal/interpreter/interpreter_test.go
+++ b/internal/interpreter/interpreter_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-func TestNativeRequests(t *testing.T) {
+func TestNativeReadRequest(t *testing.T) {
 	tests := []struct {
 		text string
 		want time.Duration
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestNativeRetryAfterIsWholeSeconds(t *testing.T) {
+func TestNativeRetryAfterRoundsUp(t *testing.T) {
 	if got := (Native{}).FormatRetryAfter(1200 * time.Millisecond); got != "2" {
 		t.Errorf("got %s, want 2", got)
 	}
