--- a/internal/signer/signer.go
+++ b/internal/signer/signer.go
@@ -1,4 +1,4 @@
-// Package signer authenticates what nodes tell each other with a key that they share.
+// Package signer authenticates messages between nodes by HMAC signatures with a shared key.
 package signer
 
 import (
@@ -12,64 +12,65 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// SumBytes is the length of a signature.
+// SumBytes is the length of a signature in bytes.
 const SumBytes = 16
 
-// MinKeyBytes is the shortest key that New takes.
+// MinKeyBytes is the length in bytes of the shortest key that New accepts.
 const MinKeyBytes = 16
 
-// ErrShortKey is returned for a key of fewer than MinKeyBytes bytes.
+// ErrShortKey is returned by New for a key of fewer than MinKeyBytes bytes.
 var ErrShortKey = merry.Sentinel("the key is shorter than 16 bytes")
 
-// Signer signs and verifies with HMAC-SHA256 (RFC 2104), cut to SumBytes.
+// Signer signs and verifies messages with HMAC-SHA256 (RFC 2104), truncated to SumBytes. It is safe for concurrent use.
 type Signer struct {
-	// states holds keyed hashes, so that the key is not hashed anew for each signature.
-	states sync.Pool
+	// macStates holds *macState values for reuse, so that the key is not hashed again for each signature.
+	macStates sync.Pool
 }
 
-// New returns a signer with the given key.
+// New returns a signer with the given key. It returns ErrShortKey if the key is too short.
 func New(key []byte) (*Signer, error) {
 	if len(key) < MinKeyBytes {
 		return nil, ErrShortKey
 	}
 	s := &Signer{}
-	s.states.New = func() any { return &state{mac: hmac.New(sha256.New, key)} }
+	s.macStates.New = func() any { return &macState{mac: hmac.New(sha256.New, key)} }
 	return s, nil
 }
 
-// Sum returns the signature of data for one purpose. A signature for one purpose is worthless for
-// another.
+// Sum returns the signature of data for a purpose. The parts of data are concatenated without delimiters. A signature
+// for one purpose is not valid for another.
 func (s *Signer) Sum(purpose string, data ...[]byte) []byte {
-	keyed, ok := s.states.Get().(*state)
+	state, ok := s.macStates.Get().(*macState)
 	if !ok {
 		return nil
 	}
-	defer s.states.Put(keyed)
-	keyed.mac.Reset()
-	keyed.buffer = append(append(keyed.buffer[:0], purpose...), 0)
-	keyed.mac.Write(keyed.buffer)
+	defer s.macStates.Put(state)
+	state.mac.Reset()
+	state.buffer = append(append(state.buffer[:0], purpose...), 0)
+	state.mac.Write(state.buffer)
 	for _, part := range data {
-		keyed.mac.Write(part)
+		state.mac.Write(part)
 	}
-	return keyed.mac.Sum(make([]byte, 0, sha256.Size))[:SumBytes]
+	return state.mac.Sum(make([]byte, 0, sha256.Size))[:SumBytes]
 }
 
-type state struct {
+// macState is a keyed hash with a buffer for the purpose.
+type macState struct {
 	buffer []byte
 	mac    hash.Hash
 }
 
-// Hex returns the signature as lower-case hexadecimal digits.
+// Hex returns the signature of data for the purpose, as lower-case hexadecimal digits.
 func (s *Signer) Hex(purpose string, data ...[]byte) string {
 	return hex.EncodeToString(s.Sum(purpose, data...))
 }
 
-// Verify reports, in constant time, whether sum signs data for the purpose.
+// Verify reports whether sum is the signature of data for the purpose. It compares in constant time.
 func (s *Signer) Verify(sum []byte, purpose string, data ...[]byte) bool {
 	return subtle.ConstantTimeCompare(sum, s.Sum(purpose, data...)) == 1
 }
 
-// VerifyHex is Verify for a signature made by Hex.
+// VerifyHex is like Verify for a signature in hexadecimal digits, as Hex returns it.
 func (s *Signer) VerifyHex(sum, purpose string, data ...[]byte) bool {
 	raw, err := hex.DecodeString(sum)
 	if err != nil {
