--- a/internal/cmd/platformcmd.go
+++ b/internal/cmd/platformcmd.go
@@ -39,18 +39,18 @@
 	if err != nil {
 		return withCode(ExitUsage, err)
 	}
-	debug.SetGCPercent(settings.Product.GCPercent)
-	secrets, err := settings.Product.LoadSecrets()
+	debug.SetGCPercent(settings.NodeSettings.GCPercent)
+	secrets, err := settings.NodeSettings.LoadSecrets()
 	if err != nil {
 		return withCode(ExitUsage, err)
 	}
 	ring := logger.NewRing(command.Root().Writer)
 	defer ring.Close()
-	logs, err := logger.New(ring, settings.Product.LogFormat, settings.Product.LogLevel)
+	logs, err := logger.New(ring, settings.NodeSettings.LogFormat, settings.NodeSettings.LogLevel)
 	if err != nil {
 		return withCode(ExitUsage, err)
 	}
-	node, err := relayer.New(settings.Product, secrets, logs,
+	node, err := relayer.New(settings.NodeSettings, secrets, logs,
 		relayer.WithInterpreter(platform.Interpreter{}),
 		relayer.WithParser(settings.Budget.Parse),
 		relayer.WithPolicy(router.Cheapest{}),
@@ -62,7 +62,7 @@
 		return err
 	}
 	server := platform.NewServer(node, settings.Budget, logs)
-	if err := server.Serve(settings.ControlAddress); err != nil {
+	if err := server.Serve(settings.PlatformAddress); err != nil {
 		return err
 	}
 	if err := server.Serve(settings.ReadyAddress); err != nil {
@@ -104,7 +104,7 @@
 			node.ReloadFailed(err)
 			continue
 		}
-		node.Reload(settings.Product)
+		node.Reload(settings.NodeSettings)
 	}
 }
 
