--- a/internal/cmd/cmd.go
+++ b/internal/cmd/cmd.go
@@ -1,5 +1,5 @@
-// Package cmd is the command line. Each command reads its flags and leaves the work to other
-// packages.
+// Package cmd implements the command line interface. Each command parses its flags and delegates the work
+// to other packages.
 package cmd
 
 import (
@@ -14,50 +14,54 @@
 	"github.com/urfave/cli/v3"
 )
 
-// Exit codes.
+// Exit codes of the program.
 const (
+	// ExitOK reports success.
 	ExitOK = iota
-	// ExitFailed is for work that was begun and went wrong.
+	// ExitFailed reports a failure after the work was started.
 	ExitFailed
-	// ExitUsage is for flags, settings or documents that are not valid; nothing was started.
+	// ExitUsage reports invalid flags, settings or documents; nothing was started.
 	ExitUsage
-	// ExitConflict is for a change that another change came before.
+	// ExitConflict reports a change that conflicts with an earlier one.
 	ExitConflict
-	// ExitUnavailable is for a node or a majority of control replicas that can't be reached.
+	// ExitUnavailable reports that a node or a majority of the control replicas can't be reached.
 	ExitUnavailable
 )
 
-// Version is the version of the program.
+// Version is the version of the program, as --version prints it.
 const Version = "0.1.0"
 
-// codedError carries the exit code that its cause calls for.
-type codedError struct {
+// exitError is an error with the exit code of the program.
+type exitError struct {
 	cause error
 	code  int
 }
 
 // Error implements error.
-func (c *codedError) Error() string {
+func (c *exitError) Error() string {
 	return c.cause.Error()
 }
 
 // Unwrap returns the cause.
-func (c *codedError) Unwrap() error {
+func (c *exitError) Unwrap() error {
 	return c.cause
 }
 
-func withCode(code int, err error) error {
+// withExitCode adds an exit code to err. It returns nil if err is nil.
+func withExitCode(code int, err error) error {
 	if err == nil {
 		return nil
 	}
-	return &codedError{cause: err, code: code}
+	return &exitError{cause: err, code: code}
 }
 
+// usageError returns a formatted error with ExitUsage.
 func usageError(format string, args ...any) error {
-	return withCode(ExitUsage, fmt.Errorf(format, args...))
+	return withExitCode(ExitUsage, fmt.Errorf(format, args...))
 }
 
-// Main runs the program with the given arguments and returns its exit code.
+// Main runs the program with the given arguments, the first being its name, until it ends or receives
+// SIGINT or SIGTERM. It returns the exit code.
 func Main(args []string) int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
@@ -71,9 +75,9 @@
 		return ExitOK
 	}
 	_, _ = fmt.Fprintf(stderr, "marigoldrelay: %s\n", err)
-	var coded *codedError
-	if errors.As(err, &coded) {
-		return coded.code
+	var exitErr *exitError
+	if errors.As(err, &exitErr) {
+		return exitErr.code
 	}
 	return ExitFailed
 }
@@ -103,40 +107,44 @@
 		OnUsageError:          onUsageError,
 		Writer:                stdout,
 		Metadata:              map[string]any{metadataStderr: stderr},
-		Action:                refuseArguments,
+		Action:                showHelp,
 	}
-	setUsageErrors(root.Commands)
+	setUsageErrorHandler(root.Commands)
 	return root
 }
 
-func setUsageErrors(commands []*cli.Command) {
+func setUsageErrorHandler(commands []*cli.Command) {
 	for _, command := range commands {
 		command.OnUsageError = onUsageError
-		setUsageErrors(command.Commands)
+		setUsageErrorHandler(command.Commands)
 	}
 }
 
+// metadataStderr is the key of the standard error writer in the root command's metadata.
 const metadataStderr = "stderr"
 
 func onUsageError(_ context.Context, _ *cli.Command, err error, _ bool) error {
-	return withCode(ExitUsage, err)
+	return withExitCode(ExitUsage, err)
 }
 
-// refuseArguments shows the help, or refuses a command that does not exist.
-func refuseArguments(_ context.Context, command *cli.Command) error {
+// showHelp is the action of commands that only group others. It shows the help, or returns an error if the
+// first argument is not a command.
+func showHelp(_ context.Context, command *cli.Command) error {
 	if command.Args().Present() {
 		return usageError("no command %q; see marigoldrelay --help", command.Args().First())
 	}
 	return cli.ShowAppHelp(command)
 }
 
-func noArguments(command *cli.Command) error {
+// requireNoArguments returns a usage error if the command has arguments.
+func requireNoArguments(command *cli.Command) error {
 	if command.Args().Present() {
 		return usageError("%s: unexpected argument %q", command.Name, command.Args().First())
 	}
 	return nil
 }
 
+// stderrOf returns the writer for messages beside the command's output.
 func stderrOf(command *cli.Command) io.Writer {
 	if w, ok := command.Root().Metadata[metadataStderr].(io.Writer); ok {
 		return w
--- a/internal/cmd/configcmd.go
+++ b/internal/cmd/configcmd.go
@@ -27,7 +27,7 @@
 			newConfigHistoryCommand(),
 			newConfigSetCommand(),
 		},
-		Action: refuseArguments,
+		Action: showHelp,
 	}
 }
 
@@ -42,13 +42,14 @@
 				return err
 			}
 			_, err = validator.Parse(text)
-			return withCode(ExitUsage, describe(command.Args().First(), err))
+			return withExitCode(ExitUsage, splitFieldErrors(command.Args().First(), err))
 		},
 	}
 }
 
-// describe puts each field error on a line of its own.
-func describe(file string, err error) error {
+// splitFieldErrors puts each field error on a line of its own, after the file's name. It returns other errors
+// as they are.
+func splitFieldErrors(file string, err error) error {
 	var fields validator.FieldErrors
 	if !errors.As(err, &fields) {
 		return err
@@ -60,6 +61,7 @@
 	return fmt.Errorf("%s: %s", file, strings.Join(lines, "\n  "))
 }
 
+// readDocument reads the file that is the command's only argument.
 func readDocument(command *cli.Command) ([]byte, error) {
 	if command.Args().Len() != 1 {
 		return nil, usageError("%s: want the document's file", command.Name)
@@ -76,14 +78,14 @@
 		Name:  "get",
 		Usage: "print the document in force",
 		Flags: append(adminFlags(),
-			&cli.Uint64Flag{Name: "version", Usage: "an earlier version whose text is still kept"},
+			&cli.Uint64Flag{Name: "version", Usage: "earlier version to print, if its text is still kept"},
 		),
 		Action: runConfigGet,
 	}
 }
 
 func runConfigGet(ctx context.Context, command *cli.Command) error {
-	if err := noArguments(command); err != nil {
+	if err := requireNoArguments(command); err != nil {
 		return err
 	}
 	path := administrator.PathDocument
@@ -104,6 +106,7 @@
 	return err
 }
 
+// warnStale warns that the answer was not read from a majority of the control replicas.
 func warnStale(command *cli.Command) {
 	_, _ = fmt.Fprintln(stderrOf(command), "warning: no majority of the control replicas answers; there may be a newer version")
 }
@@ -111,14 +114,14 @@
 func newConfigHistoryCommand() *cli.Command {
 	return &cli.Command{
 		Name:   "history",
-		Usage:  "list the last versions",
+		Usage:  "list the latest versions",
 		Flags:  adminFlags(),
 		Action: runConfigHistory,
 	}
 }
 
 func runConfigHistory(ctx context.Context, command *cli.Command) error {
-	if err := noArguments(command); err != nil {
+	if err := requireNoArguments(command); err != nil {
 		return err
 	}
 	resp, err := callAdmin(ctx, command, fasthttp.MethodGet, administrator.PathHistory, nil)
@@ -146,9 +149,9 @@
 		ArgsUsage: "FILE",
 		Flags: append(adminFlags(),
 			&cli.StringFlag{Name: "author", Usage: "`NAME` of the operator, for the history"},
-			&cli.Uint64Flag{Name: "base", Usage: "`VERSION` that the change was made from"},
-			&cli.StringFlag{Name: "change-id", Usage: "`ID` that tells a change sent again from a new one; drawn where it is left out"},
-			&cli.BoolFlag{Name: "first", Usage: "make the first version of a new deployment"},
+			&cli.Uint64Flag{Name: "base", Usage: "`VERSION` that the change is based on"},
+			&cli.StringFlag{Name: "change-id", Usage: "`ID` that distinguishes a resent change from a new one; random if omitted"},
+			&cli.BoolFlag{Name: "first", Usage: "create the first version of a new deployment"},
 		),
 		Action: runConfigSet,
 	}
@@ -163,7 +166,7 @@
 		return usageError("set: want either --base or --first")
 	}
 	if _, err := validator.Parse(text); err != nil {
-		return withCode(ExitUsage, describe(command.Args().First(), err))
+		return withExitCode(ExitUsage, splitFieldErrors(command.Args().First(), err))
 	}
 	id := command.String("change-id")
 	if id == "" {
@@ -190,13 +193,14 @@
 	return nil
 }
 
-// callAdmin calls the administration API and turns a refusal into an error with its exit code.
-func callAdmin(ctx context.Context, command *cli.Command, method, path string, fill func(*fasthttp.Request)) (*fasthttp.Response, error) {
+// callAdmin calls the administration API. Prepare completes the request and can be nil. A status other than
+// 200 gives an error with an exit code.
+func callAdmin(ctx context.Context, command *cli.Command, method, path string, prepare func(*fasthttp.Request)) (*fasthttp.Response, error) {
 	client, err := newAdminClient(command)
 	if err != nil {
 		return nil, err
 	}
-	resp, err := client.do(ctx, method, path, fill)
+	resp, err := client.do(ctx, method, path, prepare)
 	if err != nil {
 		return nil, err
 	}
@@ -207,10 +211,11 @@
 	if err := json.Unmarshal(resp.Body(), &problem); err != nil {
 		return nil, fmt.Errorf("status %d: %s", resp.StatusCode(), resp.Body())
 	}
-	return nil, withCode(codeOf(&problem), describeProblem(&problem))
+	return nil, withExitCode(exitCode(&problem), problemError(&problem))
 }
 
-func codeOf(problem *administrator.Problem) int {
+// exitCode returns the exit code for a refused request.
+func exitCode(problem *administrator.Problem) int {
 	switch problem.Status {
 	case fasthttp.StatusPreconditionFailed, fasthttp.StatusConflict:
 		return ExitConflict
@@ -223,7 +228,8 @@
 	}
 }
 
-func describeProblem(problem *administrator.Problem) error {
+// problemError returns an error with the problem's title, detail and field errors on lines of their own.
+func problemError(problem *administrator.Problem) error {
 	lines := []string{problem.Title}
 	if problem.Current > 0 {
 		lines[0] += fmt.Sprintf(": version %d is in force", problem.Current)
--- a/internal/cmd/democmd.go
+++ b/internal/cmd/democmd.go
@@ -13,10 +13,10 @@
 		Name:  "demo",
 		Usage: "run nodes, stand-in upstreams and a light load in one process",
 		Flags: []cli.Flag{
-			&cli.DurationFlag{Name: "duration", Usage: "how long to run; 0 means until interrupted"},
+			&cli.DurationFlag{Name: "duration", Usage: "how long to run; 0 runs until interrupted"},
 		},
 		Action: func(ctx context.Context, command *cli.Command) error {
-			if err := noArguments(command); err != nil {
+			if err := requireNoArguments(command); err != nil {
 				return err
 			}
 			return demonstrator.Run(ctx, command.Root().Writer, command.Duration("duration"))
--- a/internal/cmd/explaincmd.go
+++ b/internal/cmd/explaincmd.go
@@ -11,15 +11,16 @@
 	"github.com/marigoldrelay/marigoldrelay/internal/explainer"
 )
 
-var errNoLines = merry.Sentinel("no line tells of this request; ordinary ones are told of in part only")
+// errNoLines is returned if the logs hold no line on the request.
+var errNoLines = merry.Sentinel("no log line names this request; only a part of the ordinary requests is logged")
 
 func newExplainCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "explain",
-		Usage:     "tell the story of one request from the logs of several processes",
+		Usage:     "show the log lines on one request from the logs of several processes in the order of time",
 		ArgsUsage: "FILE...",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "request", Usage: "`ID` of the request, or of the call that a line names", Required: true},
+			&cli.StringFlag{Name: "request", Usage: "`ID` of the request, or of the call as log lines name it", Required: true},
 		},
 		Action: runExplain,
 	}
@@ -33,7 +34,7 @@
 	for _, path := range command.Args().Slice() {
 		file, err := os.Open(path)
 		if err != nil {
-			return withCode(ExitUsage, err)
+			return withExitCode(ExitUsage, err)
 		}
 		defer func() { _ = file.Close() }()
 		logs[path] = file
@@ -43,7 +44,7 @@
 		return err
 	}
 	if len(lines) == 0 {
-		return withCode(ExitFailed, errNoLines)
+		return withExitCode(ExitFailed, errNoLines)
 	}
 	return explainer.Write(command.Root().Writer, lines)
 }
--- a/internal/cmd/loadcmd.go
+++ b/internal/cmd/loadcmd.go
@@ -19,11 +19,12 @@
 	"github.com/marigoldrelay/marigoldrelay/internal/timekeeper"
 )
 
-// errWrongAnswers is returned when a call got no answer of its own and no honest refusal.
+// errWrongAnswers is returned if a call got an answer that is not its own or not whole, or no answer at all;
+// --allow-lost permits the latter.
 var errWrongAnswers = merry.Sentinel("some calls got neither their own whole answer nor a refusal")
 
-// errOutcomes is returned when outcomes could not be written.
-var errOutcomes = merry.Sentinel("outcomes can't be written")
+// errWriteOutcomes is returned if the outcomes file could not be written.
+var errWriteOutcomes = merry.Sentinel("outcomes can't be written")
 
 func newLoadCommand() *cli.Command {
 	return &cli.Command{
@@ -33,12 +34,12 @@
 			&cli.IntFlag{Name: "answer-bytes", Usage: "size of the payload to ask for", Value: 200},
 			&cli.DurationFlag{Name: "duration", Usage: "how long to send", Value: 10 * time.Second},
 			&cli.BoolFlag{Name: "json", Usage: "print the result as JSON"},
-			&cli.StringFlag{Name: "outcomes", Usage: "`FILE` to which a line for each request is written"},
-			&cli.StringFlag{Name: "prefix", Usage: "start of every request id", Value: "load"},
-			&cli.BoolFlag{Name: "allow-lost", Usage: "do not fail for calls that a node gave no answer to"},
-			&cli.FloatFlag{Name: "rate", Usage: "requests a second", Value: 100},
+			&cli.StringFlag{Name: "outcomes", Usage: "`FILE` to write one line for each request to"},
+			&cli.StringFlag{Name: "prefix", Usage: "prefix of every request id", Value: "load"},
+			&cli.BoolFlag{Name: "allow-lost", Usage: "do not fail if calls get no answer at all"},
+			&cli.FloatFlag{Name: "rate", Usage: "requests per second", Value: 100},
 			&cli.StringSliceFlag{Name: "request", Usage: "kind of request, `\"METHOD PATH [WEIGHT]\"`; repeat for a mix", Required: true},
-			&cli.Uint64Flag{Name: "seed", Usage: "seed of the arrivals", Value: 1},
+			&cli.Uint64Flag{Name: "seed", Usage: "random seed of the arrivals", Value: 1},
 			&cli.StringSliceFlag{Name: "target", Usage: "a node's caller `ADDRESS`; repeat for several", Required: true},
 			&cli.DurationFlag{Name: "timeout", Usage: "longest wait for an answer", Value: 10 * time.Second},
 		},
@@ -47,12 +48,12 @@
 }
 
 func runLoad(ctx context.Context, command *cli.Command) error {
-	if err := noArguments(command); err != nil {
+	if err := requireNoArguments(command); err != nil {
 		return err
 	}
-	config, err := loadConfig(command)
+	config, err := parseLoadConfig(command)
 	if err != nil {
-		return withCode(ExitUsage, err)
+		return withExitCode(ExitUsage, err)
 	}
 	observe, finish, err := openOutcomes(command.String("outcomes"))
 	if err != nil {
@@ -82,7 +83,8 @@
 	return nil
 }
 
-func loadConfig(command *cli.Command) (loadgenerator.Config, error) {
+// parseLoadConfig returns the load generator's configuration from the command's flags.
+func parseLoadConfig(command *cli.Command) (loadgenerator.Config, error) {
 	config := loadgenerator.Config{
 		AnswerBytes: command.Int("answer-bytes"),
 		Duration:    command.Duration("duration"),
@@ -111,7 +113,8 @@
 	return config, nil
 }
 
-// openOutcomes returns a function that writes outcomes to the file and one that closes it.
+// openOutcomes returns a function that writes outcomes to the file, which is safe for concurrent use, and one
+// that closes the file and reports failed writes. Without a path the first one is nil.
 func openOutcomes(path string) (func(loadgenerator.Outcome), func() error, error) {
 	if path == "" {
 		return nil, func() error { return nil }, nil
@@ -132,7 +135,7 @@
 		mu.Lock()
 		defer mu.Unlock()
 		if err := errors.Join(out.Flush(), file.Close()); err != nil {
-			return fmt.Errorf("%w: %w", errOutcomes, err)
+			return fmt.Errorf("%w: %w", errWriteOutcomes, err)
 		}
 		return nil
 	}
--- a/internal/cmd/nodecmd.go
+++ b/internal/cmd/nodecmd.go
@@ -14,7 +14,7 @@
 func newNodeCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "node",
-		Usage: "run the process beside an upstream",
+		Usage: "run a node beside an upstream",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "settings", Usage: "`FILE` with the node's settings in JSON with comments", Required: true},
 		},
@@ -23,25 +23,25 @@
 }
 
 func runNode(ctx context.Context, command *cli.Command) error {
-	if err := noArguments(command); err != nil {
+	if err := requireNoArguments(command); err != nil {
 		return err
 	}
 	settings, err := settingsreader.Load(command.String("settings"))
 	if err != nil {
-		return withCode(ExitUsage, err)
+		return withExitCode(ExitUsage, err)
 	}
 	debug.SetGCPercent(settings.GCPercent)
 	secrets, err := settings.LoadSecrets()
 	if err != nil {
-		return withCode(ExitUsage, err)
+		return withExitCode(ExitUsage, err)
 	}
 	document, err := settings.LoadDocument()
 	if err != nil {
-		return withCode(ExitUsage, err)
+		return withExitCode(ExitUsage, err)
 	}
 	logs, err := logger.New(stderrOf(command), settings.LogFormat, settings.LogLevel)
 	if err != nil {
-		return withCode(ExitUsage, err)
+		return withExitCode(ExitUsage, err)
 	}
 	node, err := relayer.New(settings, secrets, logs)
 	if err != nil {
--- a/internal/cmd/platformcmd.go
+++ b/internal/cmd/platformcmd.go
@@ -16,8 +16,8 @@
 	"github.com/marigoldrelay/marigoldrelay/platform"
 )
 
-// closeTime bounds the end of the platform's own listeners.
-const closeTime = 200 * time.Millisecond
+// serverCloseTimeout bounds the shutdown of the listeners for the platform's requests.
+const serverCloseTimeout = 200 * time.Millisecond
 
 func newPlatformCommand() *cli.Command {
 	return &cli.Command{
@@ -31,24 +31,24 @@
 }
 
 func runPlatform(ctx context.Context, command *cli.Command) error {
-	if err := noArguments(command); err != nil {
+	if err := requireNoArguments(command); err != nil {
 		return err
 	}
 	path := command.String("settings")
 	settings, err := platform.Load(path)
 	if err != nil {
-		return withCode(ExitUsage, err)
+		return withExitCode(ExitUsage, err)
 	}
 	debug.SetGCPercent(settings.NodeSettings.GCPercent)
 	secrets, err := settings.NodeSettings.LoadSecrets()
 	if err != nil {
-		return withCode(ExitUsage, err)
+		return withExitCode(ExitUsage, err)
 	}
 	ring := logger.NewRing(command.Root().Writer)
 	defer ring.Close()
 	logs, err := logger.New(ring, settings.NodeSettings.LogFormat, settings.NodeSettings.LogLevel)
 	if err != nil {
-		return withCode(ExitUsage, err)
+		return withExitCode(ExitUsage, err)
 	}
 	node, err := relayer.New(settings.NodeSettings, secrets, logs,
 		relayer.WithInterpreter(platform.Interpreter{}),
@@ -68,37 +68,38 @@
 	if err := server.Serve(settings.ReadyAddress); err != nil {
 		return err
 	}
-	reload(ctx, path, node)
+	watchSettings(ctx, path, node)
 	node.DrainFor(settings.DrainTimes())
-	closing, cancel := context.WithTimeout(context.Background(), closeTime)
+	closing, cancel := context.WithTimeout(context.Background(), serverCloseTimeout)
 	defer cancel()
 	server.Close(closing)
 	node.Close()
 	return nil
 }
 
-// reloadInterval is how often the settings file is looked at, since it may change without a signal.
+// reloadInterval is the interval between checks of the settings file, which can change without a signal.
 const reloadInterval = time.Second
 
-// reload follows the settings file until ctx is done. A file that can't be read changes nothing.
-func reload(ctx context.Context, path string, node *relayer.Node) {
+// watchSettings reloads the settings file after each SIGHUP or change of its modification time, until ctx
+// is done. If the file can't be read, the node keeps its settings.
+func watchSettings(ctx context.Context, path string, node *relayer.Node) {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	defer signal.Stop(hangups)
 	ticker := time.NewTicker(reloadInterval)
 	defer ticker.Stop()
-	changed := modified(path)
+	lastModTime := modTime(path)
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-hangups:
 		case <-ticker.C:
-			if now := modified(path); now.Equal(changed) {
+			if now := modTime(path); now.Equal(lastModTime) {
 				continue
 			}
 		}
-		changed = modified(path)
+		lastModTime = modTime(path)
 		settings, err := platform.Load(path)
 		if err != nil {
 			node.ReloadFailed(err)
@@ -108,8 +109,8 @@
 	}
 }
 
-// modified returns when the file was written last, or zero where that is not known.
-func modified(path string) time.Time {
+// modTime returns the file's modification time, or the zero time if the file can't be examined.
+func modTime(path string) time.Time {
 	info, err := os.Stat(path)
 	if err != nil {
 		return time.Time{}
--- a/internal/cmd/proxy_test.go
+++ b/internal/cmd/proxy_test.go
@@ -10,25 +10,26 @@
 	"time"
 )
 
-// manner is how a proxy treats the bytes that pass it.
-type manner int32
+// proxyMode is how a proxy treats the bytes that pass through it.
+type proxyMode int32
 
 const (
-	mannerPass manner = iota
-	// mannerDelay holds each piece for proxyDelay.
-	mannerDelay
-	// mannerDeaf drops what callers send, mannerMute what nodes answer; no connection ends.
-	mannerDeaf
-	mannerMute
-	manners
+	modePass proxyMode = iota
+	// modeDelay delays each piece by proxyDelay.
+	modeDelay
+	// modeDropRequests drops what callers send, modeDropAnswers what the node answers. Both leave the
+	// connections open.
+	modeDropRequests
+	modeDropAnswers
+	modeCount
 )
 
 const proxyDelay = 80 * time.Millisecond
 
-// proxy stands on loopback between callers and one node.
+// proxy forwards connections on loopback between callers and one node.
 type proxy struct {
 	listener net.Listener
-	manner   atomic.Int32
+	mode     atomic.Int32
 	target   netip.AddrPort
 
 	mu    sync.Mutex
@@ -60,12 +61,13 @@
 		if err != nil {
 			return
 		}
-		go p.join(conn.(*net.TCPConn))
+		go p.forward(conn.(*net.TCPConn))
 	}
 }
 
-// join copies both ways until one end closes. A node that is not there resets the caller.
-func (p *proxy) join(caller *net.TCPConn) {
+// forward copies in both directions until one end closes. If the node can't be reached, it resets the
+// caller's connection.
+func (p *proxy) forward(caller *net.TCPConn) {
 	raw, err := net.Dial("tcp", p.target.String())
 	if err != nil {
 		_ = caller.SetLinger(0)
@@ -76,30 +78,30 @@
 	p.mu.Lock()
 	p.conns[caller], p.conns[node] = struct{}{}, struct{}{}
 	p.mu.Unlock()
-	go p.pipe(node, caller, mannerDeaf)
-	p.pipe(caller, node, mannerMute)
+	go p.pipe(node, caller, modeDropRequests)
+	p.pipe(caller, node, modeDropAnswers)
 	p.mu.Lock()
 	delete(p.conns, caller)
 	delete(p.conns, node)
 	p.mu.Unlock()
 }
 
-// pipe copies from one end to the other and drops what comes while the proxy has the given manner.
-func (p *proxy) pipe(to, from *net.TCPConn, dropped manner) {
+// pipe copies from one connection to the other and drops the bytes that arrive while the proxy is in dropMode.
+func (p *proxy) pipe(to, from *net.TCPConn, dropMode proxyMode) {
 	buffer := make([]byte, 4096)
 	for {
 		size, err := from.Read(buffer)
-		now := manner(p.manner.Load())
-		if now == mannerDelay {
+		now := proxyMode(p.mode.Load())
+		if now == modeDelay {
 			time.Sleep(proxyDelay)
 		}
-		if size > 0 && now != dropped {
+		if size > 0 && now != dropMode {
 			if _, err := to.Write(buffer[:size]); err != nil {
 				break
 			}
 		}
-		if err == io.EOF && now != dropped {
-			// What the other end still sends is delivered.
+		if err == io.EOF && now != dropMode {
+			// The opposite direction stays open and delivers what the other end still sends.
 			_ = to.CloseWrite()
 			return
 		}
@@ -111,7 +113,7 @@
 	_ = from.Close()
 }
 
-// reset breaks all connections that are open.
+// reset resets all open connections.
 func (p *proxy) reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/cmd/script_test.go
+++ b/internal/cmd/script_test.go
@@ -28,8 +28,8 @@
 )
 
 const (
-	awaitTime  = 30 * time.Second
-	testSecret = "a-secret-for-tests-only"
+	awaitTimeout = 30 * time.Second
+	testSecret   = "a-secret-for-tests-only"
 )
 
 func TestMain(m *testing.M) {
@@ -38,7 +38,7 @@
 	})
 }
 
-// TestScripts runs the program as separate processes, as a user would.
+// TestScripts runs the program in separate processes, as a user does.
 func TestScripts(t *testing.T) {
 	testscript.Run(t, testscript.Params{
 		Dir: "testdata/scripts",
@@ -56,69 +56,71 @@
 	})
 }
 
-// place holds the addresses of one node of a test.
-type place struct {
+// nodeAddresses holds the name and the addresses of a node in a test.
+type nodeAddresses struct {
 	name                                   string
 	admin, announce, caller, control, peer netip.AddrPort
 }
 
-// writeDeployment writes the settings of n nodes, called n1 and so on, and sets variables such as
-// n1_caller to their addresses. Further arguments name the nodes that have a data folder.
+// writeDeployment implements the command "deployment COUNT [NODE...]". It writes the settings of COUNT nodes,
+// called n1 and so on, and sets variables such as n1_caller to their addresses. The named nodes have a data
+// folder.
 func writeDeployment(ts *testscript.TestScript, _ bool, args []string) {
 	count, err := strconv.Atoi(args[0])
 	ts.Check(err)
-	places, err := writeSettings(ts.MkAbs("."), count, args[1:])
+	nodes, err := writeSettings(ts.MkAbs("."), count, args[1:])
 	ts.Check(err)
-	for _, p := range places {
+	for _, node := range nodes {
 		for part, address := range map[string]netip.AddrPort{
-			"admin": p.admin, "announce": p.announce, "caller": p.caller, "control": p.control, "peer": p.peer,
+			"admin": node.admin, "announce": node.announce, "caller": node.caller, "control": node.control, "peer": node.peer,
 		} {
-			ts.Setenv(p.name+"_"+part, address.String())
+			ts.Setenv(node.name+"_"+part, address.String())
 		}
 	}
 }
 
-// writeSettings writes the settings of nodes, called n1 and so on, into a folder. They follow a document
-// that is there. Those named in replicas have a data folder.
-func writeSettings(folder string, count int, replicas []string) ([]place, error) {
+// writeSettings writes the settings of nodes, called n1 and so on, into a folder. If the folder holds
+// document.jsonc, the settings name it as the document file. Nodes named in replicas have a data folder.
+func writeSettings(folder string, count int, replicas []string) ([]nodeAddresses, error) {
 	if err := os.WriteFile(filepath.Join(folder, "secret"), []byte(testSecret), 0o600); err != nil {
 		return nil, err
 	}
-	const each = 5
-	all, err := demonstrator.FreeAddresses(each * count)
+	const addressesPerNode = 5
+	all, err := demonstrator.FreeAddresses(addressesPerNode * count)
 	if err != nil {
 		return nil, err
 	}
-	seeds := []netip.AddrPort{all[3], all[each*min(1, count-1)+3]}
-	var places []place
+	seeds := []netip.AddrPort{all[3], all[addressesPerNode*min(1, count-1)+3]}
+	var nodes []nodeAddresses
 	for i := 1; i <= count; i++ {
-		a := all[each*(i-1) : each*i]
-		p := place{fmt.Sprintf("n%d", i), a[0], a[1], a[2], a[3], a[4]}
+		a := all[addressesPerNode*(i-1) : addressesPerNode*i]
+		node := nodeAddresses{fmt.Sprintf("n%d", i), a[0], a[1], a[2], a[3], a[4]}
 		settings := map[string]any{
-			"admin-address": p.admin, "admin-token-file": "secret", "announce-address": p.announce,
-			"caller-address": p.caller, "control-address": p.control,
-			"data-centre": fmt.Sprintf("dc%d", i%2), "name": p.name,
-			"log-level": "warn", "peer-address": p.peer, "peer-key-file": "secret", "region": "r1",
+			"admin-address": node.admin, "admin-token-file": "secret", "announce-address": node.announce,
+			"caller-address": node.caller, "control-address": node.control,
+			"data-centre": fmt.Sprintf("dc%d", i%2), "name": node.name,
+			"log-level": "warn", "peer-address": node.peer, "peer-key-file": "secret", "region": "r1",
 			"seeds": seeds,
 		}
 		if _, err := os.Stat(filepath.Join(folder, "document.jsonc")); err == nil {
 			settings["document-file"] = "document.jsonc"
 		}
-		if slices.Contains(replicas, p.name) {
-			settings["data-folder"] = "data-" + p.name
+		if slices.Contains(replicas, node.name) {
+			settings["data-folder"] = "data-" + node.name
 		}
 		data, err := json.MarshalIndent(settings, "", "  ")
 		if err != nil {
 			return nil, err
 		}
-		if err := os.WriteFile(filepath.Join(folder, p.name+".jsonc"), data, 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(folder, node.name+".jsonc"), data, 0o600); err != nil {
 			return nil, err
 		}
-		places = append(places, p)
+		nodes = append(nodes, node)
 	}
-	return places, nil
+	return nodes, nil
 }
 
+// nodeStatus reads the status of the node with the given administration address.
 func nodeStatus(address string) (*relayer.Status, error) {
 	parsed, err := netip.ParseAddrPort(address)
 	if err != nil {
@@ -133,20 +135,22 @@
 	return &status, json.Unmarshal(resp.Body(), &status)
 }
 
-// awaitServing waits until the node at an administration address sees so many serving members.
+// awaitServing implements the command "await-serving COUNT ADDRESS". It waits until the node with that
+// administration address lists exactly COUNT serving members.
 func awaitServing(ts *testscript.TestScript, _ bool, args []string) {
 	awaitMembers(ts, args, func(m *gossiper.Member) bool { return m.IsServing() })
 }
 
-// awaitAlive waits until the node at an administration address sees so many members alive.
+// awaitAlive implements the command "await-alive COUNT ADDRESS". It waits until the node with that
+// administration address lists exactly COUNT members as alive.
 func awaitAlive(ts *testscript.TestScript, _ bool, args []string) {
 	awaitMembers(ts, args, func(m *gossiper.Member) bool { return m.Status == gossiper.StatusAlive })
 }
 
-func awaitMembers(ts *testscript.TestScript, args []string, counts func(*gossiper.Member) bool) {
+func awaitMembers(ts *testscript.TestScript, args []string, matches func(*gossiper.Member) bool) {
 	want, err := strconv.Atoi(args[0])
 	ts.Check(err)
-	deadline := time.Now().Add(awaitTime)
+	deadline := time.Now().Add(awaitTimeout)
 	found := -1
 	var failure error
 	for time.Now().Before(deadline) {
@@ -155,7 +159,7 @@
 		if err == nil {
 			found = 0
 			for i := range status.Members {
-				if counts(&status.Members[i]) {
+				if matches(&status.Members[i]) {
 					found++
 				}
 			}
@@ -168,12 +172,12 @@
 	ts.Fatalf("%d members found, want %d; last error: %v", found, want, failure)
 }
 
-// awaitVersion waits until the node at an administration address has the version in force, and
-// fails when it ever goes back.
+// awaitVersion implements the command "await-version VERSION ADDRESS". It waits until VERSION is in force at
+// the node with that administration address, and fails if the node's version ever decreases.
 func awaitVersion(ts *testscript.TestScript, _ bool, args []string) {
 	want, err := strconv.ParseUint(args[0], 10, 64)
 	ts.Check(err)
-	deadline := time.Now().Add(awaitTime)
+	deadline := time.Now().Add(awaitTimeout)
 	newest := uint64(0)
 	for time.Now().Before(deadline) {
 		if status, err := nodeStatus(args[1]); err == nil {
@@ -190,8 +194,8 @@
 	ts.Fatalf("version %d is in force, want %d", newest, want)
 }
 
-// writeDocument writes a document whose control replicas are the named nodes with the disks that
-// they have now: write-document file deadline n1 n2 n3.
+// writeDocument implements the command "write-document FILE DEADLINE [NODE...]". It writes a document in which
+// every route has the deadline and whose control replicas are the named nodes with their current disks.
 func writeDocument(ts *testscript.TestScript, _ bool, args []string) {
 	document, err := demonstrator.Document()
 	ts.Check(err)
@@ -210,21 +214,23 @@
 	ts.Check(os.WriteFile(ts.MkAbs(args[0]), append([]byte("// Written by a test.\n"), data...), 0o600))
 }
 
-// truncate cuts the last byte off a file.
+// truncate implements the command "truncate FILE". It removes the last byte of the file.
 func truncate(ts *testscript.TestScript, _ bool, args []string) {
 	info, err := os.Stat(ts.MkAbs(args[0]))
 	ts.Check(err)
 	ts.Check(os.Truncate(ts.MkAbs(args[0]), info.Size()-1))
 }
 
+// pause implements the command "pause DURATION".
 func pause(ts *testscript.TestScript, _ bool, args []string) {
 	d, err := time.ParseDuration(args[0])
 	ts.Check(err)
 	time.Sleep(d)
 }
 
-// checkOutcomes compares an outcomes file with the journals of all upstreams: a POST ran at most
-// once, one that was said not to have run did not, and an answered one ran.
+// checkOutcomes implements the command "check-outcomes FILE [JOURNAL...]". It compares an outcomes file with
+// the journals of all upstreams: no POST ran more than once, no request that was reported as not run did run,
+// every answered request ran, and no answer was wrong.
 func checkOutcomes(ts *testscript.TestScript, _ bool, args []string) {
 	ran := readJournals(ts, args[1:])
 	file, err := os.Open(ts.MkAbs(args[0]))
@@ -242,6 +248,7 @@
 	}
 }
 
+// readJournals returns how often each request ran according to the journals.
 func readJournals(ts *testscript.TestScript, paths []string) map[string]int {
 	ran := make(map[string]int)
 	for _, path := range paths {
@@ -255,18 +262,18 @@
 }
 
 func checkOutcome(ts *testscript.TestScript, line string, ran map[string]int) {
-	ts.Check(judge(line, ran))
+	ts.Check(outcomeError(line, ran))
 }
 
-// judge returns what is wrong with an outcome, given how often each request ran.
-func judge(line string, ran map[string]int) error {
+// outcomeError returns an error if an outcome line contradicts ran, which holds how often each request ran.
+func outcomeError(line string, ran map[string]int) error {
 	fields := strings.Fields(line)
 	id, method := fields[0], fields[1]
 	switch {
 	case method == fasthttp.MethodPost && ran[id] > 1:
 		return fmt.Errorf("ran %d times: %s", ran[id], line)
 	case strings.HasSuffix(line, "not-run=true") && ran[id] > 0:
-		return fmt.Errorf("ran although it was said not to have: %s", line)
+		return fmt.Errorf("ran although it was reported as not run: %s", line)
 	case strings.HasSuffix(line, "answered") && ran[id] == 0:
 		return fmt.Errorf("answered but did not run: %s", line)
 	case strings.HasSuffix(line, "wrong"):
@@ -276,7 +283,8 @@
 	}
 }
 
-// checkRan compares the number of lines in a journal with a bound: check-ran at-least 1 journal.
+// checkRan implements the command "check-ran at-least|at-most BOUND JOURNAL". It compares the number of lines
+// in a journal with the bound.
 func checkRan(ts *testscript.TestScript, _ bool, args []string) {
 	bound, err := strconv.Atoi(args[1])
 	ts.Check(err)
--- a/internal/cmd/soak_operator_test.go
+++ b/internal/cmd/soak_operator_test.go
@@ -16,23 +16,25 @@
 
 const (
 	soakReplicas = 3
-	// changePause is the time between two changes of the soak's operator, changeTime bounds one try.
-	changePause = 150 * time.Millisecond
-	changeTime  = 2 * time.Second
+	// changePause is the time between two changes of the soak's operator; changeTimeout bounds one attempt to
+	// send a change.
+	changePause   = 150 * time.Millisecond
+	changeTimeout = 2 * time.Second
 )
 
-var versionForm = regexp.MustCompile(`version (\d+) is in force`)
+var versionPattern = regexp.MustCompile(`version (\d+) is in force`)
 
-// operator changes the document while processes break, and sends each change until it is acknowledged.
+// operator changes the document while faults are injected, and resends each change until it is acknowledged.
 type operator struct {
 	*soak
+	// document is the path of the document that every change sends.
 	document string
-	// acknowledged is the newest version.
+	// acknowledged is the newest acknowledged version.
 	acknowledged uint64
 }
 
-// first makes version 1 on the replicas' disks.
-func (o *operator) first() {
+// createFirstVersion creates version 1 with the nodes' current disks as control replicas.
+func (o *operator) createFirstVersion() {
 	text, err := os.ReadFile("testdata/soak.jsonc")
 	if err != nil {
 		o.t.Fatal(err)
@@ -42,7 +44,7 @@
 		o.t.Fatal(err)
 	}
 	for i := range soakReplicas {
-		status, err := nodeStatus(o.places[i].admin.String())
+		status, err := nodeStatus(o.nodes[i].admin.String())
 		if err != nil {
 			o.t.Fatal(err)
 		}
@@ -56,15 +58,15 @@
 	if err := os.WriteFile(o.document, data, 0o600); err != nil {
 		o.t.Fatal(err)
 	}
-	if err := o.change("change-0", "--first"); err != nil {
+	if err := o.sendChange("change-0", "--first"); err != nil {
 		o.t.Fatal(err)
 	}
 }
 
-// run makes changes until ctx is done.
+// run sends changes until ctx is done.
 func (o *operator) run(ctx context.Context) {
 	for n := 1; ctx.Err() == nil; n++ {
-		if err := o.change(fmt.Sprintf("change-%d", n), "--base", strconv.FormatUint(o.acknowledged, 10)); err != nil {
+		if err := o.sendChange(fmt.Sprintf("change-%d", n), "--base", strconv.FormatUint(o.acknowledged, 10)); err != nil {
 			o.t.Error(err)
 			return
 		}
@@ -72,21 +74,21 @@
 	}
 }
 
-// change sends a change to one node after the other until one acknowledges it. The version must follow the
-// one before.
-func (o *operator) change(id string, base ...string) error {
-	deadline := time.Now().Add(awaitTime)
+// sendChange sends a change to random nodes until one acknowledges it. The version must be the successor of
+// the last acknowledged one.
+func (o *operator) sendChange(id string, base ...string) error {
+	deadline := time.Now().Add(awaitTimeout)
 	for {
-		place := o.places[o.draw(len(o.places))]
+		node := o.nodes[o.randomInt(len(o.nodes))]
 		args := append([]string{
-			"config", "set", "--admin", place.admin.String(), "--token-file", "secret", "--change-id", id,
+			"config", "set", "--admin", node.admin.String(), "--token-file", "secret", "--change-id", id,
 		}, base...)
-		ctx, cancel := context.WithTimeout(context.Background(), changeTime)
+		ctx, cancel := context.WithTimeout(context.Background(), changeTimeout)
 		command := exec.CommandContext(ctx, "marigoldrelay", append(args, o.document)...)
 		command.Dir = o.folder
 		out, err := command.CombinedOutput()
 		cancel()
-		if match := versionForm.FindSubmatch(out); err == nil && match != nil {
+		if match := versionPattern.FindSubmatch(out); err == nil && match != nil {
 			version, _ := strconv.ParseUint(string(match[1]), 10, 64)
 			if version != o.acknowledged+1 {
 				return fmt.Errorf("seed %d: %s made version %d after %d", *soakSeed, id, version, o.acknowledged)
@@ -95,42 +97,43 @@
 			return nil
 		}
 		if time.Now().After(deadline) {
-			return fmt.Errorf("seed %d: %s is not acknowledged after %s: %s", *soakSeed, id, awaitTime, out)
+			return fmt.Errorf("seed %d: %s is not acknowledged after %s: %s", *soakSeed, id, awaitTimeout, out)
 		}
 	}
 }
 
-// watch fails when a process ever goes back to an older version.
-func (o *operator) watch(ctx context.Context) {
-	type seen struct{ incarnation, version uint64 }
-	newest := make(map[string]seen)
+// watchVersions fails the test if a process ever goes back to an older version. A restarted process has a new
+// incarnation.
+func (o *operator) watchVersions(ctx context.Context) {
+	type observation struct{ incarnation, version uint64 }
+	newest := make(map[string]observation)
 	for ctx.Err() == nil {
-		for _, place := range o.places {
-			status, err := nodeStatus(place.admin.String())
+		for _, node := range o.nodes {
+			status, err := nodeStatus(node.admin.String())
 			if err != nil {
 				continue
 			}
-			now, before := seen{status.Incarnation, status.Version}, newest[place.name]
+			now, before := observation{status.Incarnation, status.Version}, newest[node.name]
 			if now.incarnation == before.incarnation && now.version < before.version {
-				o.t.Errorf("seed %d: %s went from version %d to %d", *soakSeed, place.name, before.version, now.version)
+				o.t.Errorf("seed %d: %s went from version %d to %d", *soakSeed, node.name, before.version, now.version)
 			}
-			newest[place.name] = now
+			newest[node.name] = now
 		}
 		time.Sleep(changePause)
 	}
 }
 
-// settled waits until every node has the newest acknowledged version in force.
-func (o *operator) settled() {
-	for _, place := range o.places {
-		deadline := time.Now().Add(awaitTime)
+// awaitNewestVersion waits until the newest acknowledged version is in force at every node.
+func (o *operator) awaitNewestVersion() {
+	for _, node := range o.nodes {
+		deadline := time.Now().Add(awaitTimeout)
 		for {
-			status, err := nodeStatus(place.admin.String())
+			status, err := nodeStatus(node.admin.String())
 			if err == nil && status.Version == o.acknowledged {
 				break
 			}
 			if time.Now().After(deadline) {
-				o.t.Fatalf("seed %d: %s has not version %d in force after %s: %+v, %v", *soakSeed, place.name, o.acknowledged, awaitTime, status, err)
+				o.t.Fatalf("seed %d: %s does not have version %d in force after %s: %+v, %v", *soakSeed, node.name, o.acknowledged, awaitTimeout, status, err)
 			}
 			time.Sleep(20 * time.Millisecond)
 		}
--- a/internal/cmd/soak_test.go
+++ b/internal/cmd/soak_test.go
@@ -24,17 +24,17 @@
 var (
 	soakNodes = flag.Int("soak-nodes", 5, "nodes of the soak, each with an upstream")
 	soakSeed  = flag.Uint64("soak-seed", 1, "seed of the soak's faults and calls")
-	soakTime  = flag.Duration("soak-time", 6*time.Second, "how long the soak's faults come")
+	soakTime  = flag.Duration("soak-time", 6*time.Second, "how long the soak injects faults")
 )
 
 const (
-	soakFaulters = 2
-	soakRate     = 150
-	soakSettle   = time.Second
+	soakFaultWorkers = 2
+	soakRate         = 150
+	soakSettleTime   = time.Second
 )
 
-// program is one process of the soak. Its mutex keeps it from being broken twice at once.
-type program struct {
+// process is one process of the soak. Its mutex serialises the faults that are injected into it.
+type process struct {
 	args   []string
 	folder string
 	mu     sync.Mutex
@@ -43,7 +43,7 @@
 	exited chan struct{}
 }
 
-func (p *program) start() {
+func (p *process) start() {
 	cmd := exec.Command("marigoldrelay", p.args...)
 	cmd.Dir = p.folder
 	cmd.Stderr = os.Stderr
@@ -53,25 +53,25 @@
 	}
 	exited := make(chan struct{})
 	go func() {
-		// A process that was killed ends with an error.
+		// Wait returns an error for a killed process, which is expected.
 		_ = cmd.Wait()
 		close(exited)
 	}()
 	p.cmd, p.exited = cmd, exited
 }
 
-func (p *program) signal(signal syscall.Signal) {
-	// It fails where the process has ended already.
+func (p *process) signal(signal syscall.Signal) {
+	// Signal fails if the process has already ended.
 	_ = p.cmd.Process.Signal(signal)
 }
 
-// restart ends the process by a signal and starts it again after a pause.
-func (p *program) restart(signal syscall.Signal, pause time.Duration) {
+// restart ends the process with a signal and starts it again after a pause.
+func (p *process) restart(signal syscall.Signal, pause time.Duration) {
 	p.signal(signal)
 	select {
 	case <-p.exited:
-	case <-time.After(awaitTime):
-		p.t.Errorf("%v has not ended %s after signal %d", p.args, awaitTime, signal)
+	case <-time.After(awaitTimeout):
+		p.t.Errorf("%v has not ended %s after signal %d", p.args, awaitTimeout, signal)
 		p.signal(syscall.SIGKILL)
 		<-p.exited
 	}
@@ -79,52 +79,53 @@
 	p.start()
 }
 
-// soak runs the program as processes, breaks them from outside and compares what callers were told with
-// what upstreams ran.
+// soak runs nodes and upstreams as processes, injects faults from outside and compares the outcomes that
+// callers saw with the requests that upstreams ran.
 type soak struct {
-	faults   map[string]int
-	folder   string
-	mu       sync.Mutex
-	outcomes []loadgenerator.Outcome
-	places   []place
-	programs []*program
-	proxies  []*proxy
-	random   *rand.Rand
-	t        *testing.T
+	faults    map[string]int
+	folder    string
+	mu        sync.Mutex
+	outcomes  []loadgenerator.Outcome
+	nodes     []nodeAddresses
+	processes []*process
+	proxies   []*proxy
+	random    *rand.Rand
+	t         *testing.T
 }
 
-// TestSoakOfProcesses breaks real processes two at a time: killed, stopped, paused and restarted by
-// signals, and delayed, reset and cut one way by proxies before them.
+// TestSoakOfProcesses injects faults into real processes under load, two at a time. Signals kill, stop, pause
+// and restart processes; proxies in front of the nodes delay and reset connections and drop one direction.
+// It guards against requests that run twice, wrong answers and versions of the document that are lost.
 func TestSoakOfProcesses(t *testing.T) {
 	s := &soak{
 		faults: make(map[string]int), folder: t.TempDir(), random: rand.New(rand.NewPCG(*soakSeed, 2)), t: t,
 	}
 	s.deploy()
-	s.awaitAnswer()
+	s.awaitAllAnswer()
 	o := &operator{soak: s}
-	o.first()
+	o.createFirstVersion()
 	ctx, stop := context.WithCancel(t.Context())
 	var work sync.WaitGroup
 	work.Go(func() { o.run(ctx) })
-	work.Go(func() { o.watch(ctx) })
-	for range soakFaulters {
+	work.Go(func() { o.watchVersions(ctx) })
+	for range soakFaultWorkers {
 		work.Go(func() {
 			for ctx.Err() == nil {
-				s.breakSomething()
+				s.injectFault()
 			}
 		})
 	}
-	work.Go(func() { s.load(*soakTime + soakSettle) })
+	work.Go(func() { s.load(*soakTime + soakSettleTime) })
 	time.Sleep(*soakTime)
 	stop()
 	work.Wait()
-	s.awaitAnswer()
-	o.settled()
+	s.awaitAllAnswer()
+	o.awaitNewestVersion()
 	s.check()
 	t.Logf("%d versions acknowledged", o.acknowledged)
 }
 
-// deploy starts a node and an upstream in each place, and a proxy before the node.
+// deploy starts the nodes, each with an upstream beside it and a proxy in front of it.
 func (s *soak) deploy() {
 	document, err := os.ReadFile("testdata/soak.jsonc")
 	if err != nil {
@@ -137,13 +138,13 @@
 	for i := range soakReplicas {
 		replicas = append(replicas, fmt.Sprintf("n%d", i+1))
 	}
-	if s.places, err = writeSettings(s.folder, *soakNodes, replicas); err != nil {
+	if s.nodes, err = writeSettings(s.folder, *soakNodes, replicas); err != nil {
 		s.t.Fatal(err)
 	}
-	for i, place := range s.places {
-		s.proxies = append(s.proxies, newProxy(s.t, place.caller))
-		s.add("node", "--settings", place.name+".jsonc")
-		s.add("upstream", "--service", "entries", "--announce", place.announce.String(),
+	for i, node := range s.nodes {
+		s.proxies = append(s.proxies, newProxy(s.t, node.caller))
+		s.add("node", "--settings", node.name+".jsonc")
+		s.add("upstream", "--service", "entries", "--announce", node.announce.String(),
 			"--journal", s.journal(i), "--seed", fmt.Sprint(i))
 	}
 }
@@ -152,10 +153,11 @@
 	return filepath.Join(s.folder, fmt.Sprintf("journal-%d", i))
 }
 
+// add starts a process and kills it at the end of the test.
 func (s *soak) add(args ...string) {
-	p := &program{args: args, folder: s.folder, t: s.t}
+	p := &process{args: args, folder: s.folder, t: s.t}
 	p.start()
-	s.programs = append(s.programs, p)
+	s.processes = append(s.processes, p)
 	s.t.Cleanup(func() {
 		p.signal(syscall.SIGCONT)
 		p.signal(syscall.SIGKILL)
@@ -163,17 +165,18 @@
 	})
 }
 
-func (s *soak) draw(n int) int {
+// randomInt returns a random number from 0 to n-1. It is safe for concurrent use.
+func (s *soak) randomInt(n int) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.random.IntN(n)
 }
 
-// breakSomething brings about one fault, waits, and repairs it.
-func (s *soak) breakSomething() {
-	pause := time.Duration(20+s.draw(800)) * time.Millisecond
-	target := s.programs[s.draw(len(s.programs))]
-	proxy := s.proxies[s.draw(len(s.proxies))]
+// injectFault injects one random fault, waits, and repairs it.
+func (s *soak) injectFault() {
+	pause := time.Duration(20+s.randomInt(800)) * time.Millisecond
+	target := s.processes[s.randomInt(len(s.processes))]
+	proxy := s.proxies[s.randomInt(len(s.proxies))]
 	faults := []struct {
 		name string
 		act  func()
@@ -186,14 +189,14 @@
 			target.signal(syscall.SIGCONT)
 		}},
 		{"reset", proxy.reset},
-		{"path", func() {
-			proxy.manner.Store(int32(1 + s.draw(int(manners)-1)))
+		{"proxy", func() {
+			proxy.mode.Store(int32(1 + s.randomInt(int(modeCount)-1)))
 			time.Sleep(pause)
 			proxy.reset()
-			proxy.manner.Store(int32(mannerPass))
+			proxy.mode.Store(int32(modePass))
 		}},
 	}
-	fault := faults[s.draw(len(faults))]
+	fault := faults[s.randomInt(len(faults))]
 	s.mu.Lock()
 	s.faults[fault.name]++
 	s.mu.Unlock()
@@ -203,6 +206,7 @@
 	time.Sleep(pause / 2)
 }
 
+// load sends requests through all proxies for the time d and records their outcomes.
 func (s *soak) load(d time.Duration) {
 	config := loadgenerator.Config{
 		AnswerBytes: 200, Duration: d, Kinds: []loadgenerator.Kind{
@@ -221,13 +225,13 @@
 	}).Run(s.t.Context())
 }
 
-// awaitAnswer waits until every node answers a call.
-func (s *soak) awaitAnswer() {
+// awaitAllAnswer waits until every node has answered a call.
+func (s *soak) awaitAllAnswer() {
 	for i, proxy := range s.proxies {
-		deadline := time.Now().Add(awaitTime)
+		deadline := time.Now().Add(awaitTimeout)
 		for n := 0; !s.isAnswered(proxy.address(), fmt.Sprintf("await-%d-%d", i, n)); n++ {
 			if time.Now().After(deadline) {
-				s.t.Fatalf("seed %d: node %d does not answer %s after its repair", *soakSeed, i+1, awaitTime)
+				s.t.Fatalf("seed %d: node %d does not answer %s after its repair", *soakSeed, i+1, awaitTimeout)
 			}
 			time.Sleep(20 * time.Millisecond)
 		}
@@ -246,7 +250,7 @@
 	return answered
 }
 
-// check compares the outcomes with the journals.
+// check compares the outcomes with the upstreams' journals.
 func (s *soak) check() {
 	ran := make(map[string]int)
 	for i := range s.proxies {
@@ -260,7 +264,7 @@
 	}
 	answered := 0
 	for i := range s.outcomes {
-		if err := judge(s.outcomes[i].String(), ran); err != nil {
+		if err := outcomeError(s.outcomes[i].String(), ran); err != nil {
 			s.t.Errorf("seed %d: %v", *soakSeed, err)
 		}
 		if s.outcomes[i].IsAnswered() {
--- a/internal/cmd/statuscmd.go
+++ b/internal/cmd/statuscmd.go
@@ -20,9 +20,10 @@
 	"github.com/marigoldrelay/marigoldrelay/internal/timekeeper"
 )
 
+// adminTimeout bounds one request to the administration API.
 const adminTimeout = 10 * time.Second
 
-// adminFlags are the flags of every command that talks to a node's administration API.
+// adminFlags returns the flags of every command that calls a node's administration API.
 func adminFlags() []cli.Flag {
 	return []cli.Flag{
 		&cli.StringFlag{Name: "admin", Usage: "a node's administration `ADDRESS`", Required: true},
@@ -49,16 +50,17 @@
 	return &adminClient{pool: pool, token: strings.TrimSpace(string(token))}, nil
 }
 
-// do sends a request that fill has completed and returns the answer's status, headers and body.
-func (a *adminClient) do(ctx context.Context, method, path string, fill func(*fasthttp.Request)) (*fasthttp.Response, error) {
+// do sends a request and returns the answer's status, headers and body. Prepare completes the request before
+// it is sent and can be nil.
+func (a *adminClient) do(ctx context.Context, method, path string, prepare func(*fasthttp.Request)) (*fasthttp.Response, error) {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
 	req.Header.SetMethod(method)
 	req.SetRequestURI(path)
 	req.Header.SetHost("admin")
 	req.Header.Set(fasthttp.HeaderAuthorization, "Bearer "+a.token)
-	if fill != nil {
-		fill(req)
+	if prepare != nil {
+		prepare(req)
 	}
 	resp := &fasthttp.Response{}
 	err := a.pool.Do(ctx, &forwarder.Exchange{
@@ -68,7 +70,7 @@
 		Response: resp,
 	})
 	if err != nil {
-		return nil, withCode(ExitUnavailable, err)
+		return nil, withExitCode(ExitUnavailable, err)
 	}
 	return resp, nil
 }
@@ -85,7 +87,7 @@
 }
 
 func runStatus(ctx context.Context, command *cli.Command) error {
-	if err := noArguments(command); err != nil {
+	if err := requireNoArguments(command); err != nil {
 		return err
 	}
 	resp, err := callAdmin(ctx, command, fasthttp.MethodGet, administrator.PathStatus, nil)
@@ -105,6 +107,7 @@
 	return nil
 }
 
+// printStatus writes the status as text for operators.
 func printStatus(out io.Writer, status *relayer.Status) {
 	load := status.Executor.Load
 	_, _ = fmt.Fprintf(out, "node %s, document version %d\n", status.Name, status.Version)
--- a/internal/cmd/upstreamcmd.go
+++ b/internal/cmd/upstreamcmd.go
@@ -12,7 +12,8 @@
 	"github.com/marigoldrelay/marigoldrelay/internal/responder"
 )
 
-const crashCode = 99
+// crashExitCode is the exit code of a stand-in upstream that is told to crash.
+const crashExitCode = 99
 
 func newUpstreamCommand() *cli.Command {
 	return &cli.Command{
@@ -22,21 +23,21 @@
 			&cli.StringFlag{Name: "announce", Usage: "the node's announce `ADDRESS`", Required: true},
 			&cli.DurationFlag{Name: "cold-start", Usage: "time before the upstream is ready"},
 			&cli.BoolFlag{Name: "fail-fast", Usage: "answer every request with status 503 at once"},
-			&cli.StringFlag{Name: "journal", Usage: "`FILE` to which the id of each executed request is added"},
+			&cli.StringFlag{Name: "journal", Usage: "`FILE` to which the id of each executed request is appended"},
 			&cli.StringFlag{Name: "listen", Usage: "`ADDRESS` to serve on", Value: "127.0.0.1:0"},
 			&cli.StringFlag{Name: "service", Usage: "`NAME` of the service", Required: true},
-			&cli.DurationFlag{Name: "service-time", Usage: "mean time a request takes", Value: 10 * time.Millisecond},
-			&cli.IntFlag{Name: "slots", Usage: "requests that run at once", Value: 12},
-			&cli.FloatFlag{Name: "straggle", Usage: "`FACTOR` on every service time", Value: 1},
+			&cli.DurationFlag{Name: "service-time", Usage: "mean service time of a request", Value: 10 * time.Millisecond},
+			&cli.IntFlag{Name: "slots", Usage: "number of requests that run at once", Value: 12},
+			&cli.FloatFlag{Name: "straggle", Usage: "`FACTOR` that multiplies every service time", Value: 1},
 			&cli.BoolFlag{Name: "steady", Usage: "make every request take exactly the service time"},
-			&cli.Uint64Flag{Name: "seed", Usage: "seed of the service times", Value: 1},
+			&cli.Uint64Flag{Name: "seed", Usage: "random seed of the service times", Value: 1},
 		},
 		Action: runUpstream,
 	}
 }
 
 func runUpstream(ctx context.Context, command *cli.Command) error {
-	if err := noArguments(command); err != nil {
+	if err := requireNoArguments(command); err != nil {
 		return err
 	}
 	node, err := netip.ParseAddrPort(command.String("announce"))
@@ -59,11 +60,11 @@
 		return usageError("--listen: %w", err)
 	}
 	upstream, err := responder.New(listener, responder.Config{
-		Behaviour: behaviourOf(command),
+		Behaviour: behaviourFromFlags(command),
 		ColdStart: command.Duration("cold-start"),
 		Journal:   journal,
 		Node:      node,
-		OnCrash:   func() { os.Exit(crashCode) },
+		OnCrash:   func() { os.Exit(crashExitCode) },
 		Seed:      command.Uint64("seed"),
 		Service:   command.String("service"),
 	})
@@ -77,7 +78,7 @@
 	return err
 }
 
-func behaviourOf(command *cli.Command) responder.Behaviour {
+func behaviourFromFlags(command *cli.Command) responder.Behaviour {
 	return responder.Behaviour{
 		FailFast:       command.Bool("fail-fast"),
 		Service:        command.Duration("service-time"),
@@ -87,6 +88,8 @@
 	}
 }
 
+// openJournal opens the journal for appending and returns it with a function that closes it. Without a path
+// the journal is kept in memory only.
 func openJournal(path string) (*responder.Journal, func(), error) {
 	if path == "" {
 		return responder.NewJournal(nil), func() {}, nil
