--- a/internal/settingsreader/settings.go
+++ b/internal/settingsreader/settings.go
@@ -1,4 +1,4 @@
-// Package settingsreader reads the settings of one node.
+// Package settingsreader reads and validates the settings of one node.
 package settingsreader
 
 import (
@@ -18,68 +18,79 @@
 	"github.com/marigoldrelay/marigoldrelay/internal/validator"
 )
 
-// Defaults of optional settings.
+// Defaults of optional settings, and limits of settings.
 const (
-	DefaultGCPercent      = 100
-	DefaultLogLevel       = "info"
-	DefaultLogLines       = 150
-	DefaultMaxBodyBytes   = 4 << 20
-	DefaultMaxHeaderBytes = 16 << 10
-	largestBody           = 64 << 20
-	largestHeader         = 1 << 20
-	minTokenBytes         = 16
-	mostGCPercent         = 1000
-	mostLogLines          = 100000
-	mostLosses            = 10
-	smallestHeader        = 1 << 10
+	DefaultGCPercent         = 100
+	DefaultLogLevel          = "info"
+	DefaultLogLinesPerSecond = 150
+	DefaultMaxBodyBytes      = 4 << 20
+	DefaultMaxHeaderBytes    = 16 << 10
+	maxBodyBytesLimit        = 64 << 20
+	maxHeaderBytesLimit      = 1 << 20
+	minTokenBytes            = 16
+	maxGCPercent             = 1000
+	maxLogLinesPerSecond     = 100000
+	maxToleratedLosses       = 10
+	minHeaderBytesLimit      = 1 << 10
 )
 
-// ErrInvalid is wrapped by the error of settings that break a rule.
+// ErrInvalid is wrapped by the errors of settings that can't be read or are not valid.
 var ErrInvalid = merry.Sentinel("invalid settings")
 
-// Settings is what one node is told at its start.
+// Settings are the settings with which one node starts.
 type Settings struct {
-	AdminAddress    netip.AddrPort `json:"admin-address"`
-	AdminTokenFile  string         `json:"admin-token-file"`
+	// AdminAddress serves the administration API.
+	AdminAddress   netip.AddrPort `json:"admin-address"`
+	AdminTokenFile string         `json:"admin-token-file"`
+	// AnnounceAddress serves the announcements of the upstream beside the node; it is optional.
 	AnnounceAddress netip.AddrPort `json:"announce-address"`
-	// Bootstrap is true at the first start of the whole deployment, when no replica holds anything.
-	Bootstrap      bool           `json:"bootstrap"`
-	CallerAddress  netip.AddrPort `json:"caller-address"`
+	// Bootstrap is true at the first start of the whole deployment, when no replica holds any data.
+	Bootstrap bool `json:"bootstrap"`
+	// CallerAddress serves callers' requests; it is optional.
+	CallerAddress netip.AddrPort `json:"caller-address"`
+	// ControlAddress serves the control traffic between nodes, over TCP and UDP.
 	ControlAddress netip.AddrPort `json:"control-address"`
 	DataCentre     string         `json:"data-centre"`
-	DataFolder     string         `json:"data-folder"`
-	DocumentFile   string         `json:"document-file"`
-	// GCPercent is how much the heap may grow between two collections, in percent of what is in use.
+	// DataFolder holds the data of a control replica; empty for a node that can't become one.
+	DataFolder string `json:"data-folder"`
+	// DocumentFile holds the document for LoadDocument; empty for none.
+	DocumentFile string `json:"document-file"`
+	// GCPercent is how much the heap grows until the next garbage collection, in percent of the live heap.
 	GCPercent int           `json:"gc-percent"`
 	LogFormat logger.Format `json:"log-format"`
-	// LogLines is how many lines a second are written on requests and on what changes often.
-	LogLines       int              `json:"log-lines-per-second"`
-	LogLevel       string           `json:"log-level"`
-	MaxBodyBytes   int              `json:"max-body-bytes"`
-	MaxHeaderBytes int              `json:"max-header-bytes"`
-	Name           string           `json:"name"`
-	PeerAddress    netip.AddrPort   `json:"peer-address"`
-	PeerKeyFile    string           `json:"peer-key-file"`
-	Region         string           `json:"region"`
-	Seeds          []netip.AddrPort `json:"seeds"`
-	// SelfForming lets the register choose its replicas among the nodes with a data folder.
+	// LogLines is the largest number of lines per second that are logged about requests and other frequent
+	// events.
+	LogLines       int    `json:"log-lines-per-second"`
+	LogLevel       string `json:"log-level"`
+	MaxBodyBytes   int    `json:"max-body-bytes"`
+	MaxHeaderBytes int    `json:"max-header-bytes"`
+	Name           string `json:"name"`
+	// PeerAddress serves HTTP requests of other nodes, such as forwarded calls.
+	PeerAddress netip.AddrPort `json:"peer-address"`
+	// PeerKeyFile holds the shared key of all nodes.
+	PeerKeyFile string `json:"peer-key-file"`
+	Region      string `json:"region"`
+	// Seeds are control addresses of nodes through which the node joins the others.
+	Seeds []netip.AddrPort `json:"seeds"`
+	// SelfForming makes the nodes choose the register's replicas themselves, among those with a data folder.
 	SelfForming bool `json:"self-forming"`
-	// TrustNetwork lets the node run without a shared key and a token, where the network alone keeps
-	// others out.
+	// TrustNetwork allows the node to run without a shared key and an administration token, for networks that
+	// only trusted machines can reach.
 	TrustNetwork bool `json:"trust-network"`
-	// ToleratedLosses is the number of replicas whose disks may be lost at once.
+	// ToleratedLosses is the number of replicas whose disks can be lost at the same time.
 	ToleratedLosses int `json:"tolerated-losses"`
-	// UpstreamAddress is where the upstream beside the node serves, if that is known beforehand.
+	// UpstreamAddress is the address that the upstream beside the node serves on, if it is known in advance.
 	UpstreamAddress netip.AddrPort `json:"upstream-address"`
-	// UpstreamLease is how long an announcement holds.
+	// UpstreamLease is how long an announcement is valid without a renewal.
 	UpstreamLease validator.Duration `json:"upstream-lease"`
-	// UpstreamService is the service of the upstream beside the node, if that is known beforehand.
+	// UpstreamService is the service of the upstream beside the node, if it is known in advance.
 	UpstreamService string `json:"upstream-service"`
 }
 
-var nameForm = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,62}[a-z0-9])?$`)
+// namePattern matches the names of nodes, data centres and regions.
+var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,62}[a-z0-9])?$`)
 
-// Load reads and checks the settings in a file. Paths in it are relative to the file's folder. The
+// Load reads and validates a settings file. Relative paths in it are resolved against the file's folder. The
 // error wraps ErrInvalid and names the file, the field and the value.
 func Load(path string) (*Settings, error) {
 	data, err := os.ReadFile(path)
@@ -94,13 +105,14 @@
 	return settings, nil
 }
 
-// Parse reads and checks settings written in JSON with comments.
+// Parse parses and validates settings written in JSON with comments, and sets the defaults. The error wraps
+// ErrInvalid.
 func Parse(data []byte) (*Settings, error) {
 	settings := &Settings{
 		GCPercent:      DefaultGCPercent,
 		LogFormat:      logger.FormatLogfmt,
 		LogLevel:       DefaultLogLevel,
-		LogLines:       DefaultLogLines,
+		LogLines:       DefaultLogLinesPerSecond,
 		MaxBodyBytes:   DefaultMaxBodyBytes,
 		MaxHeaderBytes: DefaultMaxHeaderBytes,
 		UpstreamLease:  validator.Duration(registrar.LeaseTime),
@@ -108,12 +120,13 @@
 	if err := validator.DecodeStrict(data, settings); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrInvalid, err)
 	}
-	if err := settings.check(); err != nil {
+	if err := settings.validate(); err != nil {
 		return nil, err
 	}
 	return settings, nil
 }
 
+// resolvePaths resolves relative paths against the folder.
 func (s *Settings) resolvePaths(folder string) {
 	for _, path := range []*string{&s.AdminTokenFile, &s.DataFolder, &s.DocumentFile, &s.PeerKeyFile} {
 		if *path != "" && !filepath.IsAbs(*path) {
@@ -122,40 +135,41 @@
 	}
 }
 
-func fail(field string, value any, reason string) error {
+// invalidField returns an error that wraps ErrInvalid and names the field, its value and the reason.
+func invalidField(field string, value any, reason string) error {
 	return fmt.Errorf("%w: %s: %q: %s", ErrInvalid, field, fmt.Sprint(value), reason)
 }
 
-func (s *Settings) check() error {
-	if err := s.checkNames(); err != nil {
+func (s *Settings) validate() error {
+	if err := s.validateNames(); err != nil {
 		return err
 	}
-	if err := s.checkAddresses(); err != nil {
+	if err := s.validateAddresses(); err != nil {
 		return err
 	}
 	if s.AdminTokenFile == "" && !s.TrustNetwork {
-		return fail("admin-token-file", "", "want the path of a file")
+		return invalidField("admin-token-file", "", "want the path of a file")
 	}
 	if s.PeerKeyFile == "" && !s.TrustNetwork {
-		return fail("peer-key-file", "", "want the path of a file")
+		return invalidField("peer-key-file", "", "want the path of a file")
 	}
-	if s.GCPercent < 1 || s.GCPercent > mostGCPercent {
-		return fail("gc-percent", s.GCPercent, fmt.Sprintf("want 1 to %d", mostGCPercent))
+	if s.GCPercent < 1 || s.GCPercent > maxGCPercent {
+		return invalidField("gc-percent", s.GCPercent, fmt.Sprintf("want 1 to %d", maxGCPercent))
 	}
-	if s.ToleratedLosses < 0 || s.ToleratedLosses > mostLosses {
-		return fail("tolerated-losses", s.ToleratedLosses, fmt.Sprintf("want 0 to %d", mostLosses))
+	if s.ToleratedLosses < 0 || s.ToleratedLosses > maxToleratedLosses {
+		return invalidField("tolerated-losses", s.ToleratedLosses, fmt.Sprintf("want 0 to %d", maxToleratedLosses))
 	}
 	if s.UpstreamLease.Std() <= 0 {
-		return fail("upstream-lease", s.UpstreamLease.Std(), "want more than 0s")
+		return invalidField("upstream-lease", s.UpstreamLease.Std(), "want more than 0s")
 	}
-	if s.MaxBodyBytes < 1 || s.MaxBodyBytes > largestBody {
-		return fail("max-body-bytes", s.MaxBodyBytes, fmt.Sprintf("want 1 to %d", largestBody))
+	if s.MaxBodyBytes < 1 || s.MaxBodyBytes > maxBodyBytesLimit {
+		return invalidField("max-body-bytes", s.MaxBodyBytes, fmt.Sprintf("want 1 to %d", maxBodyBytesLimit))
 	}
-	if s.MaxHeaderBytes < smallestHeader || s.MaxHeaderBytes > largestHeader {
-		return fail("max-header-bytes", s.MaxHeaderBytes, fmt.Sprintf("want %d to %d", smallestHeader, largestHeader))
+	if s.MaxHeaderBytes < minHeaderBytesLimit || s.MaxHeaderBytes > maxHeaderBytesLimit {
+		return invalidField("max-header-bytes", s.MaxHeaderBytes, fmt.Sprintf("want %d to %d", minHeaderBytesLimit, maxHeaderBytesLimit))
 	}
-	if s.LogLines < 1 || s.LogLines > mostLogLines {
-		return fail("log-lines-per-second", s.LogLines, fmt.Sprintf("want 1 to %d", mostLogLines))
+	if s.LogLines < 1 || s.LogLines > maxLogLinesPerSecond {
+		return invalidField("log-lines-per-second", s.LogLines, fmt.Sprintf("want 1 to %d", maxLogLinesPerSecond))
 	}
 	if _, err := logger.New(os.Stderr, s.LogFormat, s.LogLevel); err != nil {
 		return fmt.Errorf("%w: %w", ErrInvalid, err)
@@ -163,21 +177,21 @@
 	return nil
 }
 
-func (s *Settings) checkNames() error {
+func (s *Settings) validateNames() error {
 	names := []struct{ field, value string }{
 		{"data-centre", s.DataCentre},
 		{"name", s.Name},
 		{"region", s.Region},
 	}
 	for _, name := range names {
-		if !nameForm.MatchString(name.value) {
-			return fail(name.field, name.value, "want 1 to 64 lower-case letters, digits and inner hyphens")
+		if !namePattern.MatchString(name.value) {
+			return invalidField(name.field, name.value, "want 1 to 64 lower-case letters, digits and inner hyphens")
 		}
 	}
 	return nil
 }
 
-func (s *Settings) checkAddresses() error {
+func (s *Settings) validateAddresses() error {
 	addresses := []struct {
 		field    string
 		value    netip.AddrPort
@@ -189,42 +203,44 @@
 		{"control-address", s.ControlAddress, false},
 		{"peer-address", s.PeerAddress, false},
 	}
-	seen := make(map[netip.AddrPort]string)
+	fieldOf := make(map[netip.AddrPort]string)
 	for _, address := range addresses {
 		if address.optional && !address.value.IsValid() {
 			continue
 		}
 		if !address.value.IsValid() || address.value.Port() == 0 || address.value.Addr().IsUnspecified() {
-			return fail(address.field, address.value, "want the IP and port that others reach, such as 10.0.0.1:8080")
+			return invalidField(address.field, address.value, "want the IP and port that others reach, such as 10.0.0.1:8080")
 		}
-		if other, ok := seen[address.value]; ok {
-			return fail(address.field, address.value, "the same as "+other)
+		if other, ok := fieldOf[address.value]; ok {
+			return invalidField(address.field, address.value, "the same as "+other)
 		}
-		seen[address.value] = address.field
+		fieldOf[address.value] = address.field
 	}
 	for i, seed := range s.Seeds {
 		if !seed.IsValid() {
-			return fail(fmt.Sprintf("seeds[%d]", i), seed, "want an IP and port")
+			return invalidField(fmt.Sprintf("seeds[%d]", i), seed, "want an IP and port")
 		}
 	}
 	return nil
 }
 
-// Secrets are the contents of the files that the settings name.
+// Secrets holds the secrets from the files that the settings name.
 type Secrets struct {
+	// AdminToken is the token that clients of the administration API present.
 	AdminToken []byte
-	Key        *signer.Signer
+	// Key signs and verifies messages between nodes with the shared key.
+	Key *signer.Signer
 }
 
-// publicKey stands in for a shared key where the settings name none. Then the sums between nodes show
-// that a message is whole, and not who has sent it.
-const publicKey = "marigoldrelay without a shared key"
+// defaultPeerKey replaces the shared key if the settings name none. Signatures with this public value show that
+// a message between nodes is complete, but not who sent it.
+const defaultPeerKey = "marigoldrelay without a shared key"
 
-// LoadSecrets reads the shared key and the administration token. White space around them is cut. Without
-// a token file nobody can sign in to the administration API; without a key file the nodes trust their
-// network.
+// LoadSecrets reads the shared key and the administration token and removes the white space around them.
+// Without a token file the token is random, so nobody can sign in to the administration API; without a key file
+// the nodes trust their network. The error wraps ErrInvalid.
 func (s *Settings) LoadSecrets() (*Secrets, error) {
-	key, token := []byte(publicKey), []byte(NewSecret())
+	key, token := []byte(defaultPeerKey), []byte(NewSecret())
 	var err error
 	if s.PeerKeyFile != "" {
 		if key, err = readSecret("peer-key-file", s.PeerKeyFile, signer.MinKeyBytes); err != nil {
@@ -236,34 +252,35 @@
 			return nil, err
 		}
 	}
-	peers, err := signer.New(key)
+	peerSigner, err := signer.New(key)
 	if err != nil {
-		return nil, fail("peer-key-file", s.PeerKeyFile, err.Error())
+		return nil, invalidField("peer-key-file", s.PeerKeyFile, err.Error())
 	}
-	return &Secrets{AdminToken: token, Key: peers}, nil
+	return &Secrets{AdminToken: token, Key: peerSigner}, nil
 }
 
+// readSecret reads a secret of at least minBytes bytes from the file that the field names.
 func readSecret(field, path string, minBytes int) ([]byte, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fail(field, path, err.Error())
+		return nil, invalidField(field, path, err.Error())
 	}
 	secret := bytes.TrimSpace(data)
 	if len(secret) < minBytes {
-		return nil, fail(field, path, fmt.Sprintf("the content is shorter than %d bytes", minBytes))
+		return nil, invalidField(field, path, fmt.Sprintf("the content is shorter than %d bytes", minBytes))
 	}
 	return secret, nil
 }
 
-// LoadDocument reads the document that is in force until the first one from the control replicas.
-// It returns nil where the settings name none.
+// LoadDocument reads the document that is in force until the control replicas have one. It returns nil if the
+// settings name no document file.
 func (s *Settings) LoadDocument() (*validator.Document, error) {
 	if s.DocumentFile == "" {
 		return nil, nil
 	}
 	data, err := os.ReadFile(s.DocumentFile)
 	if err != nil {
-		return nil, fail("document-file", s.DocumentFile, err.Error())
+		return nil, invalidField("document-file", s.DocumentFile, err.Error())
 	}
 	document, err := validator.Parse(data)
 	if err != nil {
@@ -272,7 +289,7 @@
 	return document, nil
 }
 
-// NewSecret returns a random secret in printable letters and digits.
+// NewSecret returns a random secret of printable letters and digits.
 func NewSecret() string {
 	return rand.Text()
 }
--- a/internal/settingsreader/settings_test.go
+++ b/internal/settingsreader/settings_test.go
@@ -8,10 +8,10 @@
 	"testing"
 )
 
-const example = "../../docs/settings-example.jsonc"
+const examplePath = "../../docs/settings-example.jsonc"
 
-func TestExample(t *testing.T) {
-	settings, err := Load(example)
+func TestLoadExample(t *testing.T) {
+	settings, err := Load(examplePath)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -23,7 +23,7 @@
 	}
 }
 
-func TestMistakesNameFieldAndValue(t *testing.T) {
+func TestErrorsNameFieldAndValue(t *testing.T) {
 	tests := []struct{ old, new, want string }{
 		{`"10.1.0.11:8080"`, `"10.1.0.11:0"`, `caller-address: "10.1.0.11:0"`},
 		{`"10.1.0.11:8081"`, `"10.1.0.11:8080"`, `peer-address: "10.1.0.11:8080": the same as caller-address`},
@@ -34,7 +34,7 @@
 		{`"data-folder": "data"`, `"max-body-bytes": -1`, `max-body-bytes: "-1"`},
 		{`"name"`, `"nmae"`, `unknown field "nmae"`},
 	}
-	text, err := os.ReadFile(example)
+	text, err := os.ReadFile(examplePath)
 	if err != nil {
 		t.Fatal(err)
 	}
