--- a/internal/cmd/platformcmd.go
+++ b/internal/cmd/platformcmd.go
@@ -44,9 +44,9 @@
 	if err != nil {
 		return withExitCode(ExitUsage, err)
 	}
-	ring := logger.NewRing(command.Root().Writer)
-	defer ring.Close()
-	logs, err := logger.New(ring, settings.NodeSettings.LogFormat, settings.NodeSettings.LogLevel)
+	logWriter := logger.NewAsyncWriter(command.Root().Writer)
+	defer logWriter.Close()
+	logs, err := logger.New(logWriter, settings.NodeSettings.LogFormat, settings.NodeSettings.LogLevel)
 	if err != nil {
 		return withExitCode(ExitUsage, err)
 	}
--- a/internal/logger/logger.go
+++ b/internal/logger/logger.go
@@ -1,4 +1,4 @@
-// Package logger builds the structured loggers of the program.
+// Package logger provides structured loggers and a log writer that never blocks.
 package logger
 
 import (
@@ -12,16 +12,16 @@
 // Format is the encoding of log lines.
 type Format string
 
-// The formats.
+// The supported formats.
 const (
 	FormatJSON   Format = "json"
 	FormatLogfmt Format = "logfmt"
 )
 
-// New returns a logger that writes lines of at least the named level to w. The level is one of
-// debug, info, warn and error.
+// New returns a logger that writes lines of at least the named level, with a UTC timestamp, to w. The level
+// is one of debug, info, warn and error. The logger is safe for concurrent use.
 func New(w io.Writer, format Format, levelName string) (log.Logger, error) {
-	allowed, err := level.Parse(levelName)
+	minLevel, err := level.Parse(levelName)
 	if err != nil {
 		return nil, fmt.Errorf("log level %q: want debug, info, warn or error", levelName)
 	}
@@ -34,11 +34,11 @@
 	default:
 		return nil, fmt.Errorf("log format %q: want json or logfmt", format)
 	}
-	base = level.NewFilter(base, level.Allow(allowed))
+	base = level.NewFilter(base, level.Allow(minLevel))
 	return log.With(base, "ts", log.DefaultTimestampUTC), nil
 }
 
-// Part logs for one part of the program. Each message starts with the part's name.
+// Part is the logger of one part of the program. Each message starts with the part's name.
 type Part struct {
 	base   log.Logger
 	prefix string
@@ -71,13 +71,13 @@
 
 func (p *Part) write(to log.Logger, message string, keyvals []any) {
 	line := append([]any{"msg", p.prefix + message}, keyvals...)
-	// A log line that can't be written must not stop the work it tells of.
+	// A failure to log must not stop the work that the line describes.
 	_ = to.Log(line...)
 }
 
-// Silent drops the lines that libraries write of their own: lost connections and late answers are logged and
-// counted where they matter.
+// Silent is a logger for libraries that discards all lines. Lost connections and late answers, which libraries
+// log, are logged and counted by the program where they matter.
 type Silent struct{}
 
-// Printf implements the loggers of fasthttp and jsonrpc2.
+// Printf implements the logger interfaces of fasthttp and jsonrpc2.
 func (Silent) Printf(string, ...any) {}
