--- a/internal/meter/meter.go
+++ b/internal/meter/meter.go
@@ -1,4 +1,4 @@
-// Package meter counts what the program does, for /metrics.
+// Package meter collects the metrics of one node, which it serves under /metrics.
 package meter
 
 import (
@@ -11,143 +11,157 @@
 	"github.com/marigoldrelay/marigoldrelay/internal/refuser"
 )
 
-// RetryReason names why an attempt was made again.
+// RetryReason is the reason for a retry or a hedge of an attempt.
 type RetryReason string
 
-// The reasons for which an attempt is made again.
+// The reasons for retries and hedges.
 const (
-	// RetryElsewhere is for one that a node did not take because its upstream has had as many repeats as it may.
-	RetryElsewhere  RetryReason = "over-upstream-budget"
-	RetryFailed     RetryReason = "idempotent-failed"
+	// RetryElsewhere is the reason if a node did not accept the attempt because its upstream has reached its
+	// limit of retries.
+	RetryElsewhere RetryReason = "over-upstream-budget"
+	// RetryFailed is the reason if an attempt of an idempotent request failed.
+	RetryFailed RetryReason = "idempotent-failed"
+	// RetryHandedBack is the reason if a node handed the attempt back.
 	RetryHandedBack RetryReason = "handed-back"
-	RetryHedge      RetryReason = "hedge"
-	RetryNotRun     RetryReason = "not-run"
-	RetrySlow       RetryReason = "slow-upstream"
+	// RetryHedge is the reason for a hedge because the first attempt is overdue.
+	RetryHedge RetryReason = "hedge"
+	// RetryNotRun is the reason if the attempt did not run.
+	RetryNotRun RetryReason = "not-run"
+	// RetrySlow is the reason for a hedge because the first attempt's upstream has turned slow.
+	RetrySlow RetryReason = "slow-upstream"
 )
 
-// RetryRefusal names why an attempt was not made again although it had failed.
+// RetryRefusal is the reason for not making a retry or a hedge.
 type RetryRefusal string
 
-// The reasons for which an attempt is not made again.
+// The reasons for not making a retry or a hedge.
 const (
-	RetryRefusalBudget   RetryRefusal = "budget"
+	// RetryRefusalBudget is the reason if the neighbour's retry budget is used up.
+	RetryRefusalBudget RetryRefusal = "budget"
+	// RetryRefusalDeadline is the reason if the call's deadline has passed.
 	RetryRefusalDeadline RetryRefusal = "deadline"
-	RetryRefusalNested   RetryRefusal = "spent-below"
-	RetryRefusalTries    RetryRefusal = "tries"
-	// RetryRefusalUpstream is for one that no node asked could take within its upstream's bound on repeats.
+	// RetryRefusalNested is the reason if a nested call failed, which must not be retried again by its parent.
+	RetryRefusalNested RetryRefusal = "spent-below"
+	// RetryRefusalTries is the reason if the call has used all its attempts.
+	RetryRefusalTries RetryRefusal = "tries"
+	// RetryRefusalUpstream is the reason if none of the nodes that were asked could accept the attempt within its
+	// upstream's limit of retries.
 	RetryRefusalUpstream RetryRefusal = "upstream-budget"
 )
 
 // Meter holds the metrics of one node. It is safe for concurrent use.
 type Meter struct {
-	// histograms are written after the counters, which are few.
+	// histograms holds the histograms, which are written after the few counters and gauges.
 	histograms *metrics.Set
-	set        *metrics.Set
+	// set holds the counters and gauges.
+	set *metrics.Set
 }
 
-// New returns a meter with every refusal and retry counter at zero.
+// New returns a meter in which every refusal and retry counter exists and is zero.
 func New() *Meter {
 	metrics.ExposeMetadata(true)
 	m := &Meter{histograms: metrics.NewSet(), set: metrics.NewSet()}
 	for _, reason := range refuser.Reasons() {
-		m.refusals(reason)
+		m.refusalCounter(reason)
 	}
 	for _, reason := range []RetryReason{RetryElsewhere, RetryFailed, RetryHandedBack, RetryHedge, RetryNotRun, RetrySlow} {
-		m.retries(reason)
+		m.retryCounter(reason)
 	}
 	for _, reason := range []RetryRefusal{RetryRefusalBudget, RetryRefusalDeadline, RetryRefusalNested, RetryRefusalTries, RetryRefusalUpstream} {
-		m.retryRefusals(reason)
+		m.retryRefusalCounter(reason)
 	}
 	return m
 }
 
-func (m *Meter) refusals(reason refuser.Reason) *metrics.Counter {
+func (m *Meter) refusalCounter(reason refuser.Reason) *metrics.Counter {
 	return m.set.GetOrCreateCounter(fmt.Sprintf(`marigoldrelay_refusals_total{reason=%q}`, reason))
 }
 
-func (m *Meter) retries(reason RetryReason) *metrics.Counter {
+func (m *Meter) retryCounter(reason RetryReason) *metrics.Counter {
 	return m.set.GetOrCreateCounter(fmt.Sprintf(`marigoldrelay_retries_total{reason=%q}`, reason))
 }
 
-func (m *Meter) retryRefusals(reason RetryRefusal) *metrics.Counter {
+func (m *Meter) retryRefusalCounter(reason RetryRefusal) *metrics.Counter {
 	return m.set.GetOrCreateCounter(fmt.Sprintf(`marigoldrelay_retries_refused_total{reason=%q}`, reason))
 }
 
-func (m *Meter) arrivals(service, try string) *metrics.Counter {
+func (m *Meter) arrivalCounter(service, try string) *metrics.Counter {
 	return m.set.GetOrCreateCounter(fmt.Sprintf(`marigoldrelay_arrivals_total{service=%q,try=%q}`, service, try))
 }
 
-// Arrived counts a request that the upstream beside the node has got.
+// Arrived counts a request that the upstream beside the node has received.
 func (m *Meter) Arrived(service, try string) {
-	m.arrivals(service, try).Inc()
+	m.arrivalCounter(service, try).Inc()
 }
 
-// ArrivalCount returns how many requests of a service the upstream beside the node has got.
+// ArrivalCount returns the number of requests of a service that the upstream beside the node has received.
 func (m *Meter) ArrivalCount(service, try string) uint64 {
-	return m.arrivals(service, try).Get()
+	return m.arrivalCounter(service, try).Get()
 }
 
-// Refused counts a refusal that a caller was given.
+// Refused counts a refusal that was sent to a caller.
 func (m *Meter) Refused(reason refuser.Reason) {
-	m.refusals(reason).Inc()
+	m.refusalCounter(reason).Inc()
 }
 
-// Retried counts an attempt that was made again.
+// Retried counts a retry or a hedge.
 func (m *Meter) Retried(reason RetryReason) {
-	m.retries(reason).Inc()
+	m.retryCounter(reason).Inc()
 }
 
-// RetryRefused counts an attempt that was not made again.
+// RetryRefused counts a retry or a hedge that was not made.
 func (m *Meter) RetryRefused(reason RetryRefusal) {
-	m.retryRefusals(reason).Inc()
+	m.retryRefusalCounter(reason).Inc()
 }
 
-// Answered records the total time of an answered call and the time that the nodes added to it.
+// Answered records the total time of an answered call and the time that the nodes added to it, both as
+// histograms in seconds.
 func (m *Meter) Answered(service, rank string, total, added time.Duration) {
 	labels := fmt.Sprintf(`{service=%q,rank=%q}`, service, rank)
 	m.histograms.GetOrCreateHistogram("marigoldrelay_call_seconds" + labels).Update(total.Seconds())
 	m.histograms.GetOrCreateHistogram("marigoldrelay_added_seconds" + labels).Update(added.Seconds())
 }
 
-// Finished records how long a call took until it had its outcome, and how old the knowledge was by which
-// its target was picked.
+// Finished records the time until a call had its outcome, and the age of the load information that its target
+// was picked by, both as histograms in seconds.
 func (m *Meter) Finished(service, rank, outcome string, took, loadAge time.Duration) {
 	labels := fmt.Sprintf(`{service=%q,rank=%q,outcome=%q}`, service, rank, outcome)
 	m.histograms.GetOrCreateHistogram("marigoldrelay_finished_seconds" + labels).Update(took.Seconds())
 	m.histograms.GetOrCreateHistogram("marigoldrelay_load_age_seconds").Update(loadAge.Seconds())
 }
 
-// Count implements messenger.Meter: bytes of control traffic sent for a purpose.
+// Count implements messenger.Meter. It adds bytes of control traffic that were sent for a purpose.
 func (m *Meter) Count(purpose string, bytes int) {
 	m.set.GetOrCreateCounter(fmt.Sprintf(`marigoldrelay_control_bytes_total{purpose=%q}`, purpose)).Add(bytes)
 }
 
-// Event counts one occurrence of a named event; the name is in snake case.
+// Event counts one occurrence of an event. The name is in snake case, without the prefix and "_total".
 func (m *Meter) Event(name string) {
 	m.set.GetOrCreateCounter("marigoldrelay_" + name + "_total").Inc()
 }
 
-// Gauge registers a value that is read when the metrics are written.
+// Gauge registers a gauge whose value is read when the metrics are written. The name is in snake case, without
+// the prefix.
 func (m *Meter) Gauge(name string, read func() float64) {
 	m.set.GetOrCreateGauge("marigoldrelay_"+name, read)
 }
 
-// EventCount returns how often the named event was counted.
+// EventCount returns the number of occurrences of the event.
 func (m *Meter) EventCount(name string) uint64 {
 	return m.set.GetOrCreateCounter("marigoldrelay_" + name + "_total").Get()
 }
 
-// RefusalCount returns how often callers were refused for the reason.
+// RefusalCount returns the number of refusals to callers for the reason.
 func (m *Meter) RefusalCount(reason refuser.Reason) uint64 {
-	return m.refusals(reason).Get()
+	return m.refusalCounter(reason).Get()
 }
 
-// RetryCount returns how often attempts were made again for the reason.
+// RetryCount returns the number of retries and hedges for the reason.
 func (m *Meter) RetryCount(reason RetryReason) uint64 {
-	return m.retries(reason).Get()
+	return m.retryCounter(reason).Get()
 }
 
-// Write writes the metrics in the Prometheus text format, with those of the process.
+// Write writes the node's metrics in the Prometheus text format, followed by those of the process.
 func (m *Meter) Write(w io.Writer) {
 	m.set.WritePrometheus(w)
 	m.histograms.WritePrometheus(w)
