--- a/internal/explainer/explainer.go
+++ b/internal/explainer/explainer.go
@@ -1,4 +1,4 @@
-// Package explainer joins the log lines of several processes on one request and tells its story.
+// Package explainer merges the log lines of several processes on one request into one timeline.
 package explainer
 
 import (
@@ -12,27 +12,29 @@
 	"github.com/go-logfmt/logfmt"
 )
 
-// maxLineBytes bounds a log line.
+// maxLineBytes is the largest length of a log line.
 const maxLineBytes = 1 << 20
 
-// Line is one log line on a request.
+// Line is a parsed log line on a request.
 type Line struct {
-	// Fields are those that the story does not start with, in their order.
+	// Fields are the fields other than the level, the time, the message and the ids of the request and the
+	// call, in the order of the line.
 	Fields  []Field
 	Message string
-	// Source is the process or the file that the line comes from.
+	// Source names the process or the file that the line comes from.
 	Source string
 	Time   time.Time
 }
 
-// Field is one key with its value.
+// Field is a key of a log line with its value.
 type Field struct {
 	Key   string
 	Value string
 }
 
-// Find returns the lines on the request in the order of time. The request is named by the caller's id
-// or by the call's.
+// Find returns the lines on a request from logs, which maps the name of each source to its log. The request is
+// identified by its own id or by the id of a call. The lines are sorted by time and then by source. Lines that
+// can't be parsed are ignored.
 func Find(request string, logs map[string]io.Reader) ([]Line, error) {
 	var lines []Line
 	for source, log := range logs {
@@ -51,6 +53,7 @@
 	return lines, nil
 }
 
+// findIn returns the lines on the request from one log, in their order.
 func findIn(request, source string, log io.Reader) ([]Line, error) {
 	var lines []Line
 	scanner := bufio.NewScanner(log)
@@ -67,10 +70,10 @@
 	return lines, scanner.Err()
 }
 
-// levelKey is the first field of each line; what stands before it names the process.
+// levelKey is the first field of each line. The last word before it, if any, names the process.
 const levelKey = "level="
 
-// parse reads a line. It reports false for one on another request, or that can't be read.
+// parse parses a line in logfmt. It returns false if the line is on another request or can't be parsed.
 func parse(request, source, text string) (Line, bool) {
 	if before, rest, found := strings.Cut(text, levelKey); found {
 		if words := strings.Fields(before); len(words) > 0 {
@@ -79,7 +82,7 @@
 		text = levelKey + rest
 	}
 	line := Line{Source: source}
-	isAbout := false
+	matches := false
 	decoder := logfmt.NewDecoder(strings.NewReader(text))
 	if !decoder.ScanRecord() {
 		return Line{}, false
@@ -97,15 +100,16 @@
 		case "msg":
 			line.Message = value
 		case "request", "call":
-			isAbout = isAbout || value == request
+			matches = matches || value == request
 		default:
 			line.Fields = append(line.Fields, Field{key, value})
 		}
 	}
-	return line, isAbout && decoder.Err() == nil
+	return line, matches && decoder.Err() == nil
 }
 
-// Write tells the story: a line an event with the time since the first.
+// Write writes the lines as text, each with the time in milliseconds since the first one, its source, its message
+// and its fields that are not empty.
 func Write(w io.Writer, lines []Line) error {
 	for _, line := range lines {
 		var text strings.Builder
--- a/internal/explainer/explainer_test.go
+++ b/internal/explainer/explainer_test.go
@@ -11,23 +11,24 @@
 	"github.com/sebdah/goldie/v2"
 )
 
-// TestStories joins the logs of each story in testdata. A story's files are the logs of its processes;
-// the name before the slash is the story's, and the comment of the archive names the requests.
-func TestStories(t *testing.T) {
-	archive, err := txtar.ParseFile(filepath.Join("testdata", "stories.txtar"))
+// TestFindAndWrite compares the output for each case in testdata/logs.txtar with a golden file. The files of a
+// case, CASE/SOURCE, are the logs of its processes. The comment of the archive holds the id of the request that
+// each case looks for.
+func TestFindAndWrite(t *testing.T) {
+	archive, err := txtar.ParseFile(filepath.Join("testdata", "logs.txtar"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	golden := goldie.New(t, goldie.WithFixtureDir(filepath.Join("testdata", "golden")))
 	for line := range strings.Lines(string(archive.Comment)) {
-		story, request, ok := strings.Cut(strings.TrimSpace(line), ": ")
+		testCase, request, ok := strings.Cut(strings.TrimSpace(line), ": ")
 		if !ok {
 			continue
 		}
-		t.Run(story, func(t *testing.T) {
+		t.Run(testCase, func(t *testing.T) {
 			logs := make(map[string]io.Reader)
 			for _, file := range archive.Files {
-				if source, ok := strings.CutPrefix(file.Name, story+"/"); ok {
+				if source, ok := strings.CutPrefix(file.Name, testCase+"/"); ok {
 					logs[source] = bytes.NewReader(file.Data)
 				}
 			}
@@ -39,7 +40,7 @@
 			if err := Write(&text, lines); err != nil {
 				t.Fatal(err)
 			}
-			golden.Assert(t, story, text.Bytes())
+			golden.Assert(t, testCase, text.Bytes())
 		})
 	}
 }
