--- a/internal/administrator/administrator.go
+++ b/internal/administrator/administrator.go
@@ -36,53 +36,57 @@
 const (
 	// HeaderAuthor names the operator who makes a change.
 	HeaderAuthor = "Author"
-	// HeaderChangeID tells a change that is sent again from a new one.
+	// HeaderChangeID identifies a change, so that a resent change is distinguished from a new one.
 	HeaderChangeID = "Change-Id"
-	// HeaderStale is "true" on a document that could not be compared with a majority of replicas.
+	// HeaderStale is "true" on a document that could not be read from a majority of the replicas; there may be a
+	// newer version.
 	HeaderStale = "Document-Stale"
 )
 
 const (
-	consolePrefix = "/console"
-	readTimeout   = 2 * time.Second
-	writeTimeout  = 6 * time.Second
+	// consolePrefix starts the paths of the web console.
+	consolePrefix         = "/console"
+	registerReadTimeout   = 2 * time.Second
+	registerChangeTimeout = 6 * time.Second
 )
 
-// Register is the configuration that all nodes share.
+// Register is the replicated register that holds the configuration of all nodes.
 type Register interface {
-	// Bootstrap makes the first version.
+	// Bootstrap creates the first version.
 	Bootstrap(ctx context.Context, change *replicator.Change) (*replicator.Value, error)
-	// Change makes a version and returns its number.
+	// Change creates a version and returns its number.
 	Change(ctx context.Context, change *replicator.Change) (uint64, error)
-	// Local returns what this node knows without asking; nil where it knows nothing.
+	// Local returns the newest value that this node knows, without asking the replicas, or nil if it knows none.
 	Local() *replicator.Value
-	// Read returns the newest version that a majority of the replicas knows.
+	// Read returns the newest value that a majority of the replicas knows.
 	Read(ctx context.Context) (*replicator.Value, error)
 }
 
-// Reporter tells what the node is doing.
+// Reporter reports the state of the node. The values of Accounts, Members and Status are encoded as JSON.
 type Reporter interface {
 	Accounts() any
 	Members() any
 	Status() any
+	// WriteMetrics writes the metrics as the response body of PathMetrics.
 	WriteMetrics(w io.Writer)
 }
 
 // Administrator handles the requests of the administration API.
 type Administrator struct {
-	// console handles the paths that start with consolePrefix; it has its own sign-in.
+	// console handles the paths that start with consolePrefix. It has its own authentication.
 	console  fasthttp.RequestHandler
 	register Register
 	reporter Reporter
 	token    []byte
 }
 
-// New returns an administrator that lets in those who have the token.
+// New returns an administrator that requires the token as a bearer token on every path except PathHealth,
+// PathMetrics and those of the console.
 func New(register Register, reporter Reporter, token []byte, console fasthttp.RequestHandler) *Administrator {
 	return &Administrator{console: console, register: register, reporter: reporter, token: token}
 }
 
-// Serve handles one request.
+// Serve handles one request, after checking its token where one is required.
 func (a *Administrator) Serve(ctx *fasthttp.RequestCtx) {
 	switch path := string(ctx.Path()); {
 	case path == PathMetrics:
@@ -101,11 +105,13 @@
 	a.route(ctx)
 }
 
+// isAuthorized reports whether the request has the administration token. The comparison takes constant time.
 func (a *Administrator) isAuthorized(ctx *fasthttp.RequestCtx) bool {
 	token, found := strings.CutPrefix(string(ctx.Request.Header.Peek(fasthttp.HeaderAuthorization)), "Bearer ")
 	return found && subtle.ConstantTimeCompare([]byte(token), a.token) == 1
 }
 
+// route routes an authorized request by its method and path.
 func (a *Administrator) route(ctx *fasthttp.RequestCtx) {
 	path, method := string(ctx.Path()), string(ctx.Method())
 	switch {
@@ -120,7 +126,7 @@
 	case method == fasthttp.MethodPut && path == PathDocument:
 		a.putDocument(ctx)
 	case method == fasthttp.MethodPost && path == PathCheck:
-		a.check(ctx)
+		a.checkDocument(ctx)
 	case method == fasthttp.MethodGet && path == PathHistory:
 		a.getHistory(ctx)
 	case method == fasthttp.MethodGet && strings.HasPrefix(path, PathHistory+"/"):
@@ -130,9 +136,10 @@
 	}
 }
 
-// newest returns the newest value and whether it is stale, or nil where there is none.
-func (a *Administrator) newest() (*replicator.Value, bool) {
-	ctx, cancel := context.WithTimeout(context.Background(), readTimeout)
+// readNewest returns the newest value of the register. If the register can't be read, it returns the value that
+// this node knows, or nil, and reports it as stale.
+func (a *Administrator) readNewest() (*replicator.Value, bool) {
+	ctx, cancel := context.WithTimeout(context.Background(), registerReadTimeout)
 	defer cancel()
 	value, err := a.register.Read(ctx)
 	if err == nil {
@@ -141,8 +148,9 @@
 	return a.register.Local(), true
 }
 
+// getDocument answers with the text of the newest document and its version as an entity tag.
 func (a *Administrator) getDocument(ctx *fasthttp.RequestCtx) {
-	value, stale := a.newest()
+	value, stale := a.readNewest()
 	if value == nil {
 		writeProblem(ctx, Problem{Status: fasthttp.StatusNotFound, Title: replicator.ErrNotBootstrapped.Error()})
 		return
@@ -153,11 +161,12 @@
 	ctx.SetBodyString(value.Text)
 }
 
+// etag returns the entity tag of a version.
 func etag(version uint64) string {
 	return strconv.Quote(strconv.FormatUint(version, 10))
 }
 
-// ParseETag returns the version that an entity tag names.
+// ParseETag returns the version in an entity tag, which is a quoted decimal number.
 func ParseETag(tag string) (uint64, error) {
 	text, err := strconv.Unquote(tag)
 	if err != nil {
@@ -166,7 +175,8 @@
 	return strconv.ParseUint(text, 10, 64)
 }
 
-func (a *Administrator) check(ctx *fasthttp.RequestCtx) {
+// checkDocument validates the document in the body without changing anything.
+func (a *Administrator) checkDocument(ctx *fasthttp.RequestCtx) {
 	if _, err := validator.Parse(ctx.PostBody()); err != nil {
 		writeError(ctx, err)
 		return
@@ -174,27 +184,29 @@
 	WriteJSON(ctx, ChangeReply{})
 }
 
-// ChangeReply tells which version a change made.
+// ChangeReply is the answer to a successful change or check of a document.
 type ChangeReply struct {
+	// Version is the version that the change created; zero for a check.
 	Version uint64 `json:"version"`
 }
 
+// putDocument makes the document in the body the next version, or the first one.
 func (a *Administrator) putDocument(ctx *fasthttp.RequestCtx) {
-	change, first, err := readChange(ctx)
+	change, first, err := parseChange(ctx)
 	if err != nil {
 		writeError(ctx, err)
 		return
 	}
-	bounded, cancel := context.WithTimeout(context.Background(), writeTimeout)
+	timeoutCtx, cancel := context.WithTimeout(context.Background(), registerChangeTimeout)
 	defer cancel()
 	var version uint64
 	if first {
 		var value *replicator.Value
-		if value, err = a.register.Bootstrap(bounded, change); err == nil {
+		if value, err = a.register.Bootstrap(timeoutCtx, change); err == nil {
 			version = value.Version
 		}
 	} else {
-		version, err = a.register.Change(bounded, change)
+		version, err = a.register.Change(timeoutCtx, change)
 	}
 	if err != nil {
 		writeError(ctx, err)
@@ -206,7 +218,9 @@
 
 var errPrecondition = merry.Sentinel("want If-Match with the version that the change was made from, or If-None-Match: * for the first one")
 
-func readChange(ctx *fasthttp.RequestCtx) (change *replicator.Change, first bool, err error) {
+// parseChange returns the change that a request asks for. First is true if If-None-Match is "*", which asks for
+// the first version; otherwise If-Match holds the version that the change is based on.
+func parseChange(ctx *fasthttp.RequestCtx) (change *replicator.Change, first bool, err error) {
 	text := string(ctx.PostBody())
 	document, err := validator.Parse([]byte(text))
 	if err != nil {
@@ -235,19 +249,21 @@
 // Replicas returns the control replicas that a document names.
 func Replicas(document *validator.Document) []replicator.Replica {
 	var replicas []replicator.Replica
-	for _, one := range document.ControlReplicas {
-		replicas = append(replicas, replicator.Replica{DiskID: one.DiskID, VM: one.VM})
+	for _, replica := range document.ControlReplicas {
+		replicas = append(replicas, replicator.Replica{DiskID: replica.DiskID, VM: replica.VM})
 	}
 	return replicas
 }
 
-// HistoryReply lists versions, the newest last.
+// HistoryReply is the answer to a request for the history.
 type HistoryReply struct {
+	// Entries lists the latest versions, the newest last.
 	Entries []HistoryEntry `json:"entries"`
-	Stale   bool           `json:"stale"`
+	// Stale is true if the history could not be read from a majority of the replicas.
+	Stale bool `json:"stale"`
 }
 
-// HistoryEntry is one version without its text.
+// HistoryEntry describes one version, without its text.
 type HistoryEntry struct {
 	Author   string    `json:"author,omitempty"`
 	ChangeID string    `json:"change-id"`
@@ -256,7 +272,7 @@
 }
 
 func (a *Administrator) getHistory(ctx *fasthttp.RequestCtx) {
-	value, stale := a.newest()
+	value, stale := a.readNewest()
 	reply := HistoryReply{Stale: stale}
 	if value != nil {
 		for _, entry := range value.History {
@@ -266,17 +282,18 @@
 	WriteJSON(ctx, reply)
 }
 
-func (a *Administrator) getVersion(ctx *fasthttp.RequestCtx, name string) {
-	if text, ok := a.textOf(name); ok {
+// getVersion answers with the text of a version, which is a decimal number.
+func (a *Administrator) getVersion(ctx *fasthttp.RequestCtx, version string) {
+	if text, ok := a.versionText(version); ok {
 		ctx.SetBodyString(text)
 		return
 	}
 	writeProblem(ctx, Problem{Status: fasthttp.StatusNotFound, Title: "the text of this version is not kept"})
 }
 
-// textOf returns the text of a version that is still kept.
-func (a *Administrator) textOf(version string) (string, bool) {
-	value, _ := a.newest()
+// versionText returns the document text of a version, and whether the text is still kept.
+func (a *Administrator) versionText(version string) (string, bool) {
+	value, _ := a.readNewest()
 	if value == nil {
 		return "", false
 	}
@@ -290,9 +307,9 @@
 	return "", false
 }
 
-// Problem is the body of a refused request (RFC 9457).
+// Problem is the body of the answer to a refused request (RFC 9457).
 type Problem struct {
-	// Current is the version in force, for a conflict.
+	// Current is the version in force if the request conflicts with it, otherwise zero.
 	Current uint64                 `json:"current,omitempty"`
 	Detail  string                 `json:"detail,omitempty"`
 	Errors  []validator.FieldError `json:"errors,omitempty"`
@@ -300,6 +317,7 @@
 	Title   string                 `json:"title"`
 }
 
+// writeError answers with the problem for a failed change or check.
 func writeError(ctx *fasthttp.RequestCtx, err error) {
 	var fields validator.FieldErrors
 	var conflict *replicator.ConflictError
@@ -321,6 +339,7 @@
 	writeProblem(ctx, problem)
 }
 
+// writeProblem answers with the problem and its status, and discards what was written before.
 func writeProblem(ctx *fasthttp.RequestCtx, problem Problem) {
 	ctx.Response.Reset()
 	WriteJSON(ctx, problem)
@@ -328,7 +347,7 @@
 	ctx.Response.Header.SetContentType(refuser.ContentType)
 }
 
-// WriteJSON answers with the value as indented JSON.
+// WriteJSON answers with the value as indented JSON, or with status 500 if it can't be encoded.
 func WriteJSON(ctx *fasthttp.RequestCtx, value any) {
 	body, err := json.MarshalIndent(value, "", "  ")
 	if err != nil {
