--- a/internal/demonstrator/deployment.go
+++ b/internal/demonstrator/deployment.go
@@ -22,24 +22,28 @@
 	"github.com/marigoldrelay/marigoldrelay/internal/validator"
 )
 
-// ErrNotReady is returned when the nodes of a deployment do not find each other.
-var ErrNotReady = merry.Sentinel("the nodes did not find each other")
+// ErrNotReady is wrapped by the error of AwaitServing when a node does not see the expected number of
+// serving members in time.
+var ErrNotReady = merry.Sentinel("not every node sees the expected number of serving members")
 
 const region = "mauritius"
 
-// Place is where one node of a deployment stands, and what stands beside it.
+// Place configures one node of a deployment and the stand-in upstream beside it.
 type Place struct {
+	// Behaviour is how the upstream answers.
 	Behaviour  responder.Behaviour
 	DataCentre string
-	// DataFolder makes the node a control replica.
+	// DataFolder is the folder in which the node keeps its data as a control replica; empty for a node
+	// that is none.
 	DataFolder string
 	Name       string
-	// Service is what the upstream serves; empty for a node without an upstream.
+	// Service is the service that the upstream announces; empty for a node without an upstream.
 	Service string
 }
 
-// Deployment is a set of nodes and stand-in upstreams in this process, on loopback.
+// Deployment is a set of nodes and stand-in upstreams that run in this process and listen on loopback.
 type Deployment struct {
+	// Journal is shared by all upstreams of the deployment.
 	Journal *responder.Journal
 
 	document *validator.Document
@@ -49,15 +53,17 @@
 	stations []*Station
 }
 
-// Station is one node and the upstream beside it.
+// Station is one node of a deployment and the upstream beside it.
 type Station struct {
 	Node     *relayer.Node
 	Place    Place
 	Settings *settingsreader.Settings
+	// Upstream is nil for a node without an upstream.
 	Upstream *responder.Responder
 }
 
-// NewDeployment returns an empty deployment that follows document, which can be nil.
+// NewDeployment returns a deployment without nodes, with a new peer key and a new administration token.
+// Each node that is added starts with the document, unless it is nil, and with the options.
 func NewDeployment(document *validator.Document, options ...relayer.Option) (*Deployment, error) {
 	key, err := signer.New([]byte(settingsreader.NewSecret()))
 	if err != nil {
@@ -76,22 +82,22 @@
 	}, nil
 }
 
-// Token returns the administration token of all nodes.
+// Token returns the administration token, which is the same for all nodes.
 func (d *Deployment) Token() string {
 	return string(d.secrets.AdminToken)
 }
 
-// Station returns the station with the given index in the order of Add.
+// Station returns the i-th station, counted from 0 in the order of the calls of Add.
 func (d *Deployment) Station(i int) *Station {
 	return d.stations[i]
 }
 
-// Stations returns all stations in the order of Add.
+// Stations returns all stations in the order of the calls of Add.
 func (d *Deployment) Stations() []*Station {
 	return d.stations
 }
 
-// Callers returns the caller addresses of all nodes.
+// Callers returns the caller addresses of all nodes, that is, the addresses on which they take calls.
 func (d *Deployment) Callers() []netip.AddrPort {
 	var callers []netip.AddrPort
 	for _, station := range d.stations {
@@ -100,7 +106,7 @@
 	return callers
 }
 
-// Add starts a node and its upstream.
+// Add starts a node on free loopback addresses and, if the place names a service, its upstream.
 func (d *Deployment) Add(place Place) (*Station, error) {
 	addresses, err := FreeAddresses(5)
 	if err != nil {
@@ -134,6 +140,7 @@
 	return station, d.StartUpstream(station)
 }
 
+// seeds returns the control addresses of the first two nodes.
 func (d *Deployment) seeds() []netip.AddrPort {
 	var seeds []netip.AddrPort
 	for _, station := range d.stations[:min(2, len(d.stations))] {
@@ -142,7 +149,7 @@
 	return seeds
 }
 
-// StartNode starts the station's node, again after it was closed.
+// StartNode creates and starts the station's node. It also restarts the node after it was closed.
 func (d *Deployment) StartNode(station *Station) error {
 	node, err := relayer.New(station.Settings, d.secrets, d.logs, d.options...)
 	if err != nil {
@@ -158,7 +165,8 @@
 	return nil
 }
 
-// StartUpstream starts the station's upstream, again after it was stopped.
+// StartUpstream creates and starts the station's upstream on a free port. It also restarts the upstream
+// after it was stopped.
 func (d *Deployment) StartUpstream(station *Station) error {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -181,7 +189,8 @@
 	return nil
 }
 
-// AwaitServing waits until every node sees the given number of members that serve.
+// AwaitServing waits until every node sees exactly count serving members. When ctx is done before, the
+// error wraps ErrNotReady and the error of ctx.
 func (d *Deployment) AwaitServing(ctx context.Context, count int) error {
 	for ctx.Err() == nil {
 		if d.isServing(count) {
@@ -192,6 +201,7 @@
 	return fmt.Errorf("%w: %w", ErrNotReady, ctx.Err())
 }
 
+// isServing reports whether every node sees exactly count serving members.
 func (d *Deployment) isServing(count int) bool {
 	for _, station := range d.stations {
 		serving := 0
@@ -207,7 +217,7 @@
 	return true
 }
 
-// Close stops everything at once.
+// Close stops all upstreams, then closes all nodes.
 func (d *Deployment) Close() {
 	for _, station := range d.stations {
 		if station.Upstream != nil {
@@ -219,39 +229,42 @@
 	}
 }
 
-// Ports of FreeAddresses: below those that operating systems give to outgoing connections, which
-// could take a free port before its listener does.
+// The range of ports that FreeAddresses draws from, without lastPort. It lies below the ports that
+// operating systems assign to outgoing connections: such a connection could take a free port before its
+// listener is opened.
 const (
 	firstPort = 10240
 	lastPort  = 32000
 )
 
-// given holds the ports that this process was given: they stay free until their owner starts.
-var given sync.Map
+// reservedPorts holds the ports that FreeAddresses has returned in this process. They stay unused until
+// their owner opens its listener, so a check for a free port does not suffice.
+var reservedPorts sync.Map
 
-// FreeAddresses returns loopback addresses whose ports are free for both TCP and UDP now. A process is
-// given no port twice.
+// FreeAddresses returns loopback addresses whose ports are free for both TCP and UDP at the time of the
+// call. Neither this call nor a later one returns the same port a second time in this process.
 func FreeAddresses(count int) ([]netip.AddrPort, error) {
 	addresses := make([]netip.AddrPort, 0, count)
-	for tries := 0; len(addresses) < count; tries++ {
+	for attempts := 0; len(addresses) < count; attempts++ {
 		port := uint16(firstPort + rand.IntN(lastPort-firstPort))
 		address := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), port)
-		if _, taken := given.Load(port); taken {
+		if _, reserved := reservedPorts.Load(port); reserved {
 			continue
 		}
-		if err := tryListen(address); err != nil {
-			if tries > lastPort {
+		if err := checkPortFree(address); err != nil {
+			if attempts > lastPort {
 				return nil, err
 			}
 			continue
 		}
-		given.Store(port, struct{}{})
+		reservedPorts.Store(port, struct{}{})
 		addresses = append(addresses, address)
 	}
 	return addresses, nil
 }
 
-func tryListen(address netip.AddrPort) error {
+// checkPortFree returns an error unless the address is free for both TCP and UDP.
+func checkPortFree(address netip.AddrPort) error {
 	listener, err := net.Listen("tcp", address.String())
 	if err != nil {
 		return err
