--- a/internal/formserver/form.go
+++ b/internal/formserver/form.go
@@ -1,4 +1,5 @@
-// Package formserver serves the console: plain HTML forms that produce one validated document.
+// Package formserver serves the console: plain HTML forms in which operators edit the
+// configuration document. A document is put in force only after it has been validated as a whole.
 package formserver
 
 import (
@@ -11,36 +12,41 @@
 	"github.com/marigoldrelay/marigoldrelay/internal/validator"
 )
 
-// kind is how a field is entered.
-type kind string
+// inputKind is the kind of input in which a field is entered. The template document.html shows a checkbox
+// for kindBool and a text input for the others.
+type inputKind string
 
 const (
-	kindBool   kind = "checkbox"
-	kindList   kind = "list"
-	kindNumber kind = "number"
-	kindText   kind = "text"
+	kindBool inputKind = "checkbox"
+	// kindList is a list of words separated by spaces.
+	kindList   inputKind = "list"
+	kindNumber inputKind = "number"
+	kindText   inputKind = "text"
 )
 
-// column is one field of every row of a section.
+// column describes one field of every row of a section.
 type column struct {
-	Kind  kind
+	Kind  inputKind
 	Label string
-	Name  string
+	// Name is the name of the field in the document.
+	Name string
 }
 
-// section is one list of the document.
+// section describes one list of the document.
 type section struct {
 	Columns []column
-	Name    string
-	Title   string
+	// Name is the name of the list in the document.
+	Name  string
+	Title string
 }
 
 const (
 	budgetField = "budgets.control-bytes-per-second"
-	maxRows     = 10000
+	// maxRows limits the rows of one section. A section for which a browser sends more is read as empty.
+	maxRows = 10000
 )
 
-// sections are the lists of a document in the order of the form.
+// sections lists the sections in the order in which the form shows them.
 var sections = []section{
 	{Name: "neighbours", Title: "Neighbours", Columns: []column{
 		{kindText, "Name", "name"},
@@ -74,18 +80,22 @@
 	}},
 }
 
-// form is the content of the console's form, as text by field path.
+// form holds the content of the console's form.
 type form struct {
-	rows   map[string]int
+	// rows is the number of rows by section name.
+	rows map[string]int
+	// values is the text of each field by field path, as fieldName returns it.
 	values map[string]string
 }
 
+// fieldName returns the path of a field, such as services[0].name. It is the name of the HTML input and
+// the field name in the validator's errors.
 func fieldName(section string, row int, column string) string {
 	return fmt.Sprintf("%s[%d].%s", section, row, column)
 }
 
-// formOf returns the form of a document.
-func formOf(document *validator.Document) (*form, error) {
+// newForm returns a form that is filled with the document's values.
+func newForm(document *validator.Document) (*form, error) {
 	encoded, err := json.Marshal(document)
 	if err != nil {
 		return nil, err
@@ -106,14 +116,16 @@
 		f.rows[s.Name] = len(rows)
 		for i, row := range rows {
 			for _, c := range s.Columns {
-				f.values[fieldName(s.Name, i, c.Name)] = textOf(row[c.Name])
+				f.values[fieldName(s.Name, i, c.Name)] = formatValue(row[c.Name])
 			}
 		}
 	}
 	return f, nil
 }
 
-func textOf(value any) string {
+// formatValue returns the text of a decoded JSON value as the form holds it: "on" for true, an empty text
+// for false or a missing value, and the elements of a list joined by spaces.
+func formatValue(value any) string {
 	switch v := value.(type) {
 	case nil:
 		return ""
@@ -126,8 +138,8 @@
 		return strconv.FormatFloat(v, 'g', -1, 64)
 	case []any:
 		words := make([]string, 0, len(v))
-		for _, one := range v {
-			words = append(words, fmt.Sprint(one))
+		for _, item := range v {
+			words = append(words, fmt.Sprint(item))
 		}
 		return strings.Join(words, " ")
 	default:
@@ -135,8 +147,8 @@
 	}
 }
 
-// readForm takes the form from the values that a browser sent.
-func readForm(get func(name string) string) *form {
+// parseForm builds the form from the values that a browser sent; get returns a value by input name.
+func parseForm(get func(name string) string) *form {
 	f := &form{rows: make(map[string]int), values: make(map[string]string)}
 	f.values[budgetField] = get(budgetField)
 	for _, s := range sections {
@@ -155,13 +167,14 @@
 	return f
 }
 
-// add appends an empty row.
-func (f *form) add(section string) {
+// addRow appends an empty row to the section.
+func (f *form) addRow(section string) {
 	f.rows[section]++
 }
 
-// remove takes a row out and moves the later ones up.
-func (f *form) remove(name string, row int) {
+// removeRow removes a row of the named section and moves the later rows up. It ignores an unknown section
+// or row.
+func (f *form) removeRow(name string, row int) {
 	i := slices.IndexFunc(sections, func(s section) bool { return s.Name == name })
 	if i < 0 || row < 0 || row >= f.rows[name] {
 		return
@@ -174,15 +187,15 @@
 	f.rows[name]--
 }
 
-// text returns the document that the form describes, which need not be valid.
-func (f *form) text() (string, error) {
+// documentText returns the document that the form describes as JSON. The document is not validated.
+func (f *form) documentText() (string, error) {
 	document := map[string]any{
-		"budgets": map[string]any{"control-bytes-per-second": number(f.values[budgetField])},
+		"budgets": map[string]any{"control-bytes-per-second": parseNumber(f.values[budgetField])},
 	}
 	for _, s := range sections {
 		rows := make([]map[string]any, 0, f.rows[s.Name])
 		for i := range f.rows[s.Name] {
-			rows = append(rows, f.row(s, i))
+			rows = append(rows, f.rowValues(s, i))
 		}
 		document[s.Name] = rows
 	}
@@ -190,7 +203,8 @@
 	return string(encoded), err
 }
 
-func (f *form) row(s section, i int) map[string]any {
+// rowValues returns the i-th row of the section as a JSON object.
+func (f *form) rowValues(s section, i int) map[string]any {
 	row := make(map[string]any)
 	for _, c := range s.Columns {
 		value := f.values[fieldName(s.Name, i, c.Name)]
@@ -200,7 +214,7 @@
 		case kindList:
 			row[c.Name] = strings.Fields(value)
 		case kindNumber:
-			row[c.Name] = number(value)
+			row[c.Name] = parseNumber(value)
 		case kindText:
 			row[c.Name] = value
 		}
@@ -208,9 +222,9 @@
 	return row
 }
 
-// number returns the value as a JSON number where it is one, and as text for the validator to refuse
-// otherwise.
-func number(text string) any {
+// parseNumber returns the text as a number if it can be parsed as one. Otherwise it returns the text itself,
+// which the validator then rejects.
+func parseNumber(text string) any {
 	if value, err := strconv.ParseFloat(text, 64); err == nil {
 		return value
 	}
--- a/internal/formserver/formserver.go
+++ b/internal/formserver/formserver.go
@@ -22,7 +22,7 @@
 	"github.com/marigoldrelay/marigoldrelay/internal/validator"
 )
 
-// Paths of the console.
+// The paths of the console.
 const (
 	PathDocument = "/console/document"
 	PathLogin    = "/console/login"
@@ -30,12 +30,12 @@
 )
 
 const (
-	changeTime    = 6 * time.Second
-	cookieName    = "marigoldrelay-session"
-	maxSessions   = 1000
-	readTime      = 2 * time.Second
-	sessionTime   = 8 * time.Hour
-	contentPolicy = "default-src 'none'; style-src 'unsafe-inline'; form-action 'self'; frame-ancestors 'none'"
+	changeTimeout   = 6 * time.Second
+	cookieName      = "marigoldrelay-session"
+	maxSessions     = 1000
+	readTimeout     = 2 * time.Second
+	sessionLifetime = 8 * time.Hour
+	contentPolicy   = "default-src 'none'; style-src 'unsafe-inline'; form-action 'self'; frame-ancestors 'none'"
 )
 
 //go:embed templates/*.html
@@ -43,8 +43,9 @@
 
 var templates = template.Must(template.ParseFS(templateFiles, "templates/*.html"))
 
-// session is one operator who has shown the token.
+// session is the session of an operator who has signed in with the administration token.
 type session struct {
+	// csrf is the token against cross-site request forgery that the forms of the session carry.
 	csrf    string
 	expires time.Time
 }
@@ -55,16 +56,17 @@
 	register administrator.Register
 	token    []byte
 
-	mu       sync.Mutex
+	mu sync.Mutex
+	// sessions holds the sessions by id, which is the value of the session cookie.
 	sessions map[string]session
 }
 
-// New returns a console that lets in those who have the token.
+// New returns a console for the document in the register. Operators sign in with the token.
 func New(clock timekeeper.Clock, register administrator.Register, token []byte) *Server {
 	return &Server{clock: clock, register: register, sessions: make(map[string]session), token: token}
 }
 
-// Serve handles a request whose path starts with PathRoot.
+// Serve handles a request whose path starts with PathRoot. Without a valid session it shows the sign-in form.
 func (s *Server) Serve(ctx *fasthttp.RequestCtx) {
 	ctx.Response.Header.Set("Content-Security-Policy", contentPolicy)
 	ctx.Response.Header.Set(fasthttp.HeaderCacheControl, "no-store")
@@ -72,7 +74,7 @@
 		s.login(ctx)
 		return
 	}
-	current, ok := s.session(ctx)
+	current, ok := s.findSession(ctx)
 	if !ok {
 		render(ctx, "login.html", fasthttp.StatusOK, "")
 		return
@@ -87,6 +89,7 @@
 	}
 }
 
+// login checks the token, starts a session and redirects to the document.
 func (s *Server) login(ctx *fasthttp.RequestCtx) {
 	token := bytes.TrimSpace(ctx.PostArgs().Peek("token"))
 	if subtle.ConstantTimeCompare(token, s.token) != 1 {
@@ -95,8 +98,8 @@
 	}
 	id := rand.Text()
 	s.mu.Lock()
-	s.expire()
-	s.sessions[id] = session{csrf: rand.Text(), expires: s.clock.Now().Add(sessionTime)}
+	s.pruneSessions()
+	s.sessions[id] = session{csrf: rand.Text(), expires: s.clock.Now().Add(sessionLifetime)}
 	s.mu.Unlock()
 	cookie := fasthttp.AcquireCookie()
 	defer fasthttp.ReleaseCookie(cookie)
@@ -105,7 +108,7 @@
 	cookie.SetPath(PathRoot)
 	cookie.SetHTTPOnly(true)
 	cookie.SetSameSite(fasthttp.CookieSameSiteStrictMode)
-	cookie.SetMaxAge(int(sessionTime.Seconds()))
+	cookie.SetMaxAge(int(sessionLifetime.Seconds()))
 	ctx.Response.Header.SetCookie(cookie)
 	redirect(ctx, PathDocument)
 }
@@ -115,17 +118,19 @@
 	ctx.SetStatusCode(fasthttp.StatusSeeOther)
 }
 
-// expire drops sessions that are over, and all of them when there are too many.
-func (s *Server) expire() {
+// pruneSessions removes the sessions that have expired, and others in no particular order until
+// fewer than maxSessions are left. The caller holds mu.
+func (s *Server) pruneSessions() {
 	now := s.clock.Now()
-	for id, one := range s.sessions {
-		if now.After(one.expires) || len(s.sessions) >= maxSessions {
+	for id, known := range s.sessions {
+		if now.After(known.expires) || len(s.sessions) >= maxSessions {
 			delete(s.sessions, id)
 		}
 	}
 }
 
-func (s *Server) session(ctx *fasthttp.RequestCtx) (session, bool) {
+// findSession returns the session of the request's cookie and whether it is valid.
+func (s *Server) findSession(ctx *fasthttp.RequestCtx) (session, bool) {
 	id := ctx.Request.Header.Cookie(cookieName)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -133,17 +138,20 @@
 	return current, ok && s.clock.Now().Before(current.expires)
 }
 
-// page is what the document's template shows.
+// page holds the data of the template document.html.
 type page struct {
-	Budget   fieldView
-	Base     uint64
+	Budget fieldView
+	// Base is the version that the form was made from; zero if there was none.
+	Base uint64
+	// ChangeID identifies the change, so that a form that is sent twice changes the document once.
 	ChangeID string
 	CSRF     string
 	Message  string
-	// Problem is a message about the whole document.
+	// Problem is an error message that belongs to no field of the form.
 	Problem  string
 	Sections []sectionView
-	Stale    bool
+	// Stale is set if the register could not be read, so that there may be a newer version.
+	Stale bool
 }
 
 type sectionView struct {
@@ -158,17 +166,18 @@
 
 type fieldView struct {
 	Error string
-	Kind  kind
+	Kind  inputKind
 	Label string
 	Name  string
 	Value string
 }
 
-// show renders the newest document.
+// show renders the form for the newest document. If the register can't be read within readTimeout, it
+// falls back to the version that this node knows and marks the page as stale.
 func (s *Server) show(ctx *fasthttp.RequestCtx, current session) {
-	bounded, cancel := context.WithTimeout(context.Background(), readTime)
+	readCtx, cancel := context.WithTimeout(context.Background(), readTimeout)
 	defer cancel()
-	value, err := s.register.Read(bounded)
+	value, err := s.register.Read(readCtx)
 	stale := err != nil
 	if stale {
 		value = s.register.Local()
@@ -184,23 +193,24 @@
 	if done := ctx.QueryArgs().Peek("done"); len(done) > 0 {
 		p.Message = fmt.Sprintf("Version %s is in force.", done)
 	}
-	f, err := formOf(document)
+	f, err := newForm(document)
 	if err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusInternalServerError)
 		return
 	}
-	p.fill(f, nil)
+	p.fillFields(f, nil)
 	render(ctx, "document.html", fasthttp.StatusOK, p)
 }
 
-// submit acts on the button that was pressed.
+// submit handles a submitted form according to the button that was pressed: add or remove a row, check
+// the document or put it in force.
 func (s *Server) submit(ctx *fasthttp.RequestCtx, current session) {
 	get := func(name string) string { return string(ctx.PostArgs().Peek(name)) }
 	if subtle.ConstantTimeCompare([]byte(get("csrf")), []byte(current.csrf)) != 1 {
 		ctx.Error("the form is not of this session", fasthttp.StatusForbidden)
 		return
 	}
-	f := readForm(get)
+	f := parseForm(get)
 	base, err := strconv.ParseUint(get("base"), 10, 64)
 	if err != nil {
 		ctx.Error("the form has no version", fasthttp.StatusBadRequest)
@@ -210,26 +220,28 @@
 	action, rest, _ := strings.Cut(get("action"), ":")
 	switch action {
 	case "add":
-		f.add(rest)
+		f.addRow(rest)
 	case "remove":
 		name, row, _ := strings.Cut(rest, ":")
 		if i, err := strconv.Atoi(row); err == nil {
-			f.remove(name, i)
+			f.removeRow(name, i)
 		}
 	case "set":
-		s.set(ctx, f, &p)
+		s.putInForce(ctx, f, &p)
 		return
 	}
 	status, failure := fasthttp.StatusOK, error(nil)
 	if action == "check" {
-		status, failure = checked(f, &p)
+		status, failure = checkDocument(f, &p)
 	}
-	p.fill(f, failure)
+	p.fillFields(f, failure)
 	render(ctx, "document.html", status, p)
 }
 
-func checked(f *form, p *page) (int, error) {
-	text, err := f.text()
+// checkDocument validates the form's document and sets the page's message or problem. It returns the HTTP
+// status and the validation error.
+func checkDocument(f *form, p *page) (int, error) {
+	text, err := f.documentText()
 	if err == nil {
 		_, err = validator.Parse([]byte(text))
 	}
@@ -241,16 +253,16 @@
 	return fasthttp.StatusOK, nil
 }
 
-// set puts the form's document in force. Sending the same form again has the same change id, and
-// gets the same result.
-func (s *Server) set(ctx *fasthttp.RequestCtx, f *form, p *page) {
-	if status, failure := checked(f, p); failure != nil {
-		p.fill(f, failure)
+// putInForce validates the form's document and puts it in force. A form that is sent again has the same
+// change id and gets the same result.
+func (s *Server) putInForce(ctx *fasthttp.RequestCtx, f *form, p *page) {
+	if status, failure := checkDocument(f, p); failure != nil {
+		p.fillFields(f, failure)
 		render(ctx, "document.html", status, p)
 		return
 	}
 	p.Message = ""
-	version, err := s.change(f, p)
+	version, err := s.changeDocument(f, p)
 	if err == nil {
 		redirect(ctx, fmt.Sprintf("%s?done=%d", PathDocument, version))
 		return
@@ -263,12 +275,14 @@
 		p.Problem = fmt.Sprintf("Another change came first: version %d is in force, and this form was made from version %d. "+
 			"Open the newest version and make the change there.", conflict.Current, conflict.Base)
 	}
-	p.fill(f, nil)
+	p.fillFields(f, nil)
 	render(ctx, "document.html", status, p)
 }
 
-func (s *Server) change(f *form, p *page) (uint64, error) {
-	text, err := f.text()
+// changeDocument writes the form's document to the register, as the first version if the form was made
+// from none, and returns the version that the change made.
+func (s *Server) changeDocument(f *form, p *page) (uint64, error) {
+	text, err := f.documentText()
 	if err != nil {
 		return 0, err
 	}
@@ -280,7 +294,7 @@
 		Author: "console", Base: p.Base, ID: p.ChangeID, Replicas: administrator.Replicas(document),
 		Text: text, Time: s.clock.Now().UTC(),
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), changeTime)
+	ctx, cancel := context.WithTimeout(context.Background(), changeTimeout)
 	defer cancel()
 	if p.Base > 0 {
 		return s.register.Change(ctx, change)
@@ -292,38 +306,40 @@
 	return value.Version, nil
 }
 
-// fill puts the form's fields into the page, with each error beside its field.
-func (p *page) fill(f *form, failure error) {
+// fillFields adds the form's fields to the page, each with its validation error. Errors that belong to no
+// field of the form are appended to Problem.
+func (p *page) fillFields(f *form, failure error) {
 	var fields validator.FieldErrors
 	errors.As(failure, &fields)
 	reasons := make(map[string]string)
 	for _, field := range fields {
 		reasons[field.Field] = field.Reason
 	}
-	take := func(name, label string, k kind) fieldView {
+	newFieldView := func(name, label string, k inputKind) fieldView {
 		view := fieldView{Error: reasons[name], Kind: k, Label: label, Name: name, Value: f.values[name]}
 		delete(reasons, name)
 		return view
 	}
-	p.Budget = take(budgetField, "Control bytes a second", kindNumber)
-	for _, one := range sections {
-		view := sectionView{section: one}
-		for i := range f.rows[one.Name] {
+	p.Budget = newFieldView(budgetField, "Control bytes a second", kindNumber)
+	for _, s := range sections {
+		view := sectionView{section: s}
+		for i := range f.rows[s.Name] {
 			row := rowView{Index: i}
-			for _, c := range one.Columns {
-				row.Fields = append(row.Fields, take(fieldName(one.Name, i, c.Name), c.Label, c.Kind))
+			for _, c := range s.Columns {
+				row.Fields = append(row.Fields, newFieldView(fieldName(s.Name, i, c.Name), c.Label, c.Kind))
 			}
 			view.Rows = append(view.Rows, row)
 		}
 		p.Sections = append(p.Sections, view)
 	}
 	for _, field := range fields {
-		if reason, left := reasons[field.Field]; left {
+		if reason, unused := reasons[field.Field]; unused {
 			p.Problem += fmt.Sprintf(" %s: %s.", field.Field, reason)
 		}
 	}
 }
 
+// render executes the named template and sets the status. A template error turns into a status 500.
 func render(ctx *fasthttp.RequestCtx, name string, status int, data any) {
 	ctx.Response.Header.SetContentType("text/html; charset=utf-8")
 	ctx.SetStatusCode(status)
--- a/internal/formserver/formserver_test.go
+++ b/internal/formserver/formserver_test.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	testToken = "the-token-of-the-tests"
-	firstText = `{
+	testToken       = "the-token-of-the-tests"
+	initialDocument = `{
   "budgets": {"control-bytes-per-second": 7000}, "control-replicas": [],
   "neighbours": [{"name": "registry", "weight": 1, "retry-ratio": 0.1}],
   "ranks": [{"name": "urgent", "guaranteed-share": 0.5, "target-wait": "1s"}],
@@ -24,8 +24,10 @@
 }`
 )
 
-// fakeRegister holds one value and makes changes as the real one does.
+// fakeRegister holds one value. Like the real register it applies a change with the same id only once and
+// rejects a change whose base is not the current version.
 type fakeRegister struct {
+	// results is the version of each change by change id.
 	results map[string]uint64
 	value   replicator.Value
 }
@@ -54,7 +56,7 @@
 // Read implements administrator.Register.
 func (f *fakeRegister) Read(context.Context) (*replicator.Value, error) { return &f.value, nil }
 
-// browser keeps the cookie and the fields of the last page.
+// browser simulates a browser: it keeps the session cookie and the last page with its status.
 type browser struct {
 	cookie   string
 	page     string
@@ -64,7 +66,7 @@
 }
 
 func newBrowser() *browser {
-	register := &fakeRegister{results: make(map[string]uint64), value: replicator.Value{Text: firstText, Version: 1}}
+	register := &fakeRegister{results: make(map[string]uint64), value: replicator.Value{Text: initialDocument, Version: 1}}
 	return &browser{register: register, server: New(timekeeper.System{}, register, []byte(testToken))}
 }
 
@@ -94,17 +96,17 @@
 }
 
 var (
-	inputForm = regexp.MustCompile(`<input([^>]*)>`)
-	nameForm  = regexp.MustCompile(`name="([^"]*)"`)
-	valueForm = regexp.MustCompile(`value="([^"]*)"`)
+	inputPattern = regexp.MustCompile(`<input([^>]*)>`)
+	namePattern  = regexp.MustCompile(`name="([^"]*)"`)
+	valuePattern = regexp.MustCompile(`value="([^"]*)"`)
 )
 
 // fields returns what a browser would send for the form on the page.
 func (b *browser) fields() url.Values {
 	fields := url.Values{}
-	for _, input := range inputForm.FindAllStringSubmatch(b.page, -1) {
-		name := nameForm.FindStringSubmatch(input[1])
-		value := valueForm.FindStringSubmatch(input[1])
+	for _, input := range inputPattern.FindAllStringSubmatch(b.page, -1) {
+		name := namePattern.FindStringSubmatch(input[1])
+		value := valuePattern.FindStringSubmatch(input[1])
 		switch {
 		case name == nil:
 		case strings.Contains(input[1], `type="checkbox"`):
@@ -118,7 +120,9 @@
 	return fields
 }
 
-func (b *browser) press(action string, change func(url.Values)) {
+// pressButton submits the form on the page with the given action; change, unless nil, edits the fields
+// before.
+func (b *browser) pressButton(action string, change func(url.Values)) {
 	fields := b.fields()
 	fields.Set("action", action)
 	if change != nil {
@@ -127,7 +131,7 @@
 	b.send("POST", PathDocument, fields)
 }
 
-func (b *browser) mustShow(t *testing.T, status int, text string) {
+func (b *browser) expectPage(t *testing.T, status int, text string) {
 	t.Helper()
 	if b.status != status || !strings.Contains(b.page, text) {
 		t.Errorf("status %d, want %d with %q in the page:\n%s", b.status, status, text, b.page)
@@ -137,19 +141,20 @@
 func TestSignIn(t *testing.T) {
 	b := newBrowser()
 	b.send("GET", PathDocument, nil)
-	b.mustShow(t, 200, "Administration token")
+	b.expectPage(t, 200, "Administration token")
 	b.send("POST", PathLogin, url.Values{"token": {"wrong"}})
-	b.mustShow(t, 401, "This is not the administration token.")
+	b.expectPage(t, 401, "This is not the administration token.")
 	b.signIn()
-	b.mustShow(t, 200, "Made from version 1.")
-	b.press("set", func(f url.Values) { f.Set("csrf", "forged") })
-	b.mustShow(t, 403, "not of this session")
+	b.expectPage(t, 200, "Made from version 1.")
+	b.pressButton("set", func(f url.Values) { f.Set("csrf", "forged") })
+	b.expectPage(t, 403, "not of this session")
 }
 
-func TestChange(t *testing.T) {
+// TestPutInForce guards against a form that loses or alters fields on the way into the document.
+func TestPutInForce(t *testing.T) {
 	b := newBrowser()
 	b.signIn()
-	b.press("set", func(f url.Values) { f.Set("neighbours[0].weight", "2.5") })
+	b.pressButton("set", func(f url.Values) { f.Set("neighbours[0].weight", "2.5") })
 	if b.status != 303 || b.register.value.Version != 2 {
 		t.Fatalf("status %d, version %d", b.status, b.register.value.Version)
 	}
@@ -160,48 +165,50 @@
 	}
 }
 
-func TestFieldErrorsStandBesideTheField(t *testing.T) {
+func TestFieldErrorsAreShownBesideTheirFields(t *testing.T) {
 	b := newBrowser()
 	b.signIn()
-	b.press("check", func(f url.Values) {
+	b.pressButton("check", func(f url.Values) {
 		f.Set("routes[0].service", "nowhere")
 		f.Set("neighbours[0].weight", "heavy")
 	})
-	b.mustShow(t, 422, `id="neighbours[0].weight-error"`)
-	b.press("check", func(f url.Values) { f.Set("neighbours[0].weight", "1") })
-	b.mustShow(t, 422, `id="routes[0].service-error">no such service`)
+	b.expectPage(t, 422, `id="neighbours[0].weight-error"`)
+	b.pressButton("check", func(f url.Values) { f.Set("neighbours[0].weight", "1") })
+	b.expectPage(t, 422, `id="routes[0].service-error">no such service`)
 	if b.register.value.Version != 1 {
 		t.Error("a check changed the document")
 	}
 }
 
-func TestConflictAndSameFormTwice(t *testing.T) {
+// TestResubmittedFormAndConflict guards against a form that is sent twice and makes two versions, and
+// against an outdated form that overwrites a newer version.
+func TestResubmittedFormAndConflict(t *testing.T) {
 	b := newBrowser()
 	b.signIn()
 	form := b.page
-	b.press("set", nil)
+	b.pressButton("set", nil)
 	b.page = form
-	b.press("set", nil)
+	b.pressButton("set", nil)
 	if b.status != 303 || b.register.value.Version != 2 {
 		t.Errorf("the same form sent twice: status %d, version %d", b.status, b.register.value.Version)
 	}
 	b.page = form
-	b.press("set", func(f url.Values) { f.Set("change-id", "another") })
-	b.mustShow(t, 412, "Another change came first: version 2 is in force")
+	b.pressButton("set", func(f url.Values) { f.Set("change-id", "another") })
+	b.expectPage(t, 412, "Another change came first: version 2 is in force")
 }
 
-func TestRows(t *testing.T) {
+func TestAddAndRemoveRow(t *testing.T) {
 	b := newBrowser()
 	b.signIn()
-	b.press("add:services", nil)
-	b.mustShow(t, 200, `name="services[1].name"`)
-	b.press("check", func(f url.Values) {
+	b.pressButton("add:services", nil)
+	b.expectPage(t, 200, `name="services[1].name"`)
+	b.pressButton("check", func(f url.Values) {
 		f.Set("services[1].name", "archive")
 		f.Set("services[1].neighbour", "registry")
 	})
-	b.mustShow(t, 200, "The document is valid.")
-	b.press("remove:services:0", nil)
-	b.mustShow(t, 200, `name="services[0].name" value="archive"`)
+	b.expectPage(t, 200, "The document is valid.")
+	b.pressButton("remove:services:0", nil)
+	b.expectPage(t, 200, `name="services[0].name" value="archive"`)
 	if strings.Contains(b.page, "services[1]") {
 		t.Error("the removed row is still there")
 	}
