--- a/pkg/announcer/announcement.go
+++ b/pkg/announcer/announcement.go
@@ -1,12 +1,12 @@
-// Package announcer announces an upstream to the node beside it and keeps the lease alive.
+// Package announcer announces an upstream to the node beside it and renews its lease there.
 package announcer
 
 import "time"
 
-// State is the phase of life of an upstream.
+// State is a state in the life cycle of an upstream.
 type State string
 
-// The states of an upstream.
+// The states of an upstream, which are the values of the field "state" of an Announcement.
 const (
 	StateDraining State = "draining"
 	StateGone     State = "gone"
@@ -24,45 +24,49 @@
 	}
 }
 
-// Path is where a node takes announcements, by POST of an Announcement as JSON.
+// Path is the path of a node's announce address to which an Announcement is sent, as JSON in a POST
+// request.
 const Path = "/announce"
 
-// Announcement tells a node about the upstream beside it. Each is also a renewal of the lease.
+// Announcement describes an upstream to the node beside it. Each announcement also renews the lease.
 type Announcement struct {
 	// Address is the IP and port on which the upstream serves HTTP.
 	Address string `json:"address"`
-	// Born is when the upstream's process started, in milliseconds since 1970; zero where it is not
-	// known. Of two processes the one that was born later is the newer.
+	// Born is when the upstream's process started, in milliseconds since the Unix epoch; zero if it is
+	// not known. Of two processes, the one that started later is the newer one.
 	Born int64 `json:"born,omitempty"`
-	// Cold is for how long the upstream stays slow after its start.
+	// Cold is how long the upstream stays slow after its start, in nanoseconds in JSON.
 	Cold time.Duration `json:"cold,omitempty"`
-	// HealthPath answers 200 while the upstream thinks itself healthy; empty for none.
+	// HealthPath is the path at which the upstream answers 200 while it considers itself healthy; empty
+	// for none.
 	HealthPath string `json:"health-path,omitempty"`
-	// Instance is new for each start of the upstream's process.
+	// Instance is an id that is new for each start of the upstream's process.
 	Instance string `json:"instance"`
-	// LoadPath answers the upstream's own view of its load; empty for none.
+	// LoadPath is the path at which the upstream reports its own load; empty for none.
 	LoadPath string `json:"load-path,omitempty"`
-	// Sequence rises with each announcement of one process; zero where it is not counted.
+	// Sequence rises with each announcement of one process; zero if the announcements are not numbered.
 	Sequence uint64 `json:"sequence,omitempty"`
-	Service  string `json:"service"`
-	// Slots is the number of requests that the upstream runs at once.
+	// Service is the name of the service that the upstream provides.
+	Service string `json:"service"`
+	// Slots is the number of requests that the upstream can run at the same time.
 	Slots int   `json:"slots"`
 	State State `json:"state"`
 }
 
 // Lease is a node's answer to an Announcement.
 type Lease struct {
-	// Time is how long the announcement holds, as a Go duration string.
+	// Time is how long the announcement is valid, as a Go duration string.
 	Time string `json:"time"`
 }
 
-// renewals is how often a lease is renewed within its time.
-const renewals = 4
+// renewalsPerLease is how many times a lease is renewed within its time.
+const renewalsPerLease = 4
 
-func (l Lease) renewEvery(fallback time.Duration) time.Duration {
+// renewalInterval returns the time between two renewals, or fallback if Time is not a positive duration.
+func (l Lease) renewalInterval(fallback time.Duration) time.Duration {
 	parsed, err := time.ParseDuration(l.Time)
 	if err != nil || parsed <= 0 {
 		return fallback
 	}
-	return parsed / renewals
+	return parsed / renewalsPerLease
 }
--- a/pkg/announcer/announcer.go
+++ b/pkg/announcer/announcer.go
@@ -14,42 +14,48 @@
 
 const (
 	callTimeout = time.Second
-	firstRetry  = 500 * time.Millisecond
+	// retryInterval is the time until the next attempt after a failed one, and the time between renewals
+	// until a node has granted a lease with a valid time.
+	retryInterval = 500 * time.Millisecond
 )
 
-// ErrRefused is wrapped by the error of an announcement that the node does not accept.
+// ErrRefused is wrapped by the error of an announcement that the node answered with another status than
+// 200.
 var ErrRefused = merry.Sentinel("announcement refused")
 
-// Announcer keeps one upstream announced to its node. It is safe for concurrent use.
+// Announcer announces one upstream to its node and renews the lease. It is safe for concurrent use.
 type Announcer struct {
 	client  *fasthttp.HostClient
 	node    netip.AddrPort
 	onError func(error)
-	wake    chan struct{}
+	// renewNow makes Run send before its interval has passed.
+	renewNow chan struct{}
 
-	// sending keeps announcements in the order of the changes.
-	sending sync.Mutex
+	// sendMu serialises announcements, so that they are sent in the order of the state changes.
+	sendMu sync.Mutex
 
 	mu      sync.Mutex
 	current Announcement
 }
 
-// Option changes an Announcer under construction.
+// Option configures an Announcer in New.
 type Option func(*Announcer)
 
-// WithErrorHandler calls f after each announcement that did not reach the node or was refused.
+// WithErrorHandler makes Run call f after each announcement that did not reach the node or was refused, or
+// whose lease can't be read. Announce returns its errors instead.
 func WithErrorHandler(f func(error)) Option {
 	return func(a *Announcer) { a.onError = f }
 }
 
-// New returns an announcer of first to the node's announce address. Run starts it.
-func New(node netip.AddrPort, first Announcement, options ...Option) *Announcer {
+// New returns an announcer for the node's announce address that starts with the initial announcement. Run
+// sends it and renews the lease.
+func New(node netip.AddrPort, initial Announcement, options ...Option) *Announcer {
 	a := &Announcer{
-		client:  &fasthttp.HostClient{Addr: node.String()},
-		current: first,
-		node:    node,
-		onError: func(error) {},
-		wake:    make(chan struct{}, 1),
+		client:   &fasthttp.HostClient{Addr: node.String()},
+		current:  initial,
+		node:     node,
+		onError:  func(error) {},
+		renewNow: make(chan struct{}, 1),
 	}
 	for _, option := range options {
 		option(a)
@@ -57,43 +63,45 @@
 	return a
 }
 
-// Announce changes the state and sends it at once. It returns when the node has it, or with the
-// error that kept it from there; Run goes on trying.
+// Announce changes the state and sends the announcement at once. It returns nil once the node has accepted
+// it, and otherwise the error of the attempt; Run, while it runs, retries with the new state.
 func (a *Announcer) Announce(ctx context.Context, state State) error {
 	a.mu.Lock()
 	a.current.State = state
 	a.mu.Unlock()
 	_, err := a.send(ctx)
 	select {
-	case a.wake <- struct{}{}:
+	case a.renewNow <- struct{}{}:
 	default:
 	}
 	return err
 }
 
-// Run renews the lease until ctx is done.
+// Run sends the announcement and renews the lease until ctx is done. After an error it retries.
 func (a *Announcer) Run(ctx context.Context) {
-	every := firstRetry
+	interval := retryInterval
 	for {
 		lease, err := a.send(ctx)
 		if err != nil {
 			a.onError(err)
-			every = firstRetry
+			interval = retryInterval
 		} else {
-			every = lease.renewEvery(every)
+			interval = lease.renewalInterval(interval)
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-a.wake:
-		case <-time.After(every):
+		case <-a.renewNow:
+		case <-time.After(interval):
 		}
 	}
 }
 
+// send sends the current announcement and returns the lease that the node granted. The request ends
+// after callTimeout, or at the deadline of ctx if that is earlier.
 func (a *Announcer) send(ctx context.Context) (Lease, error) {
-	a.sending.Lock()
-	defer a.sending.Unlock()
+	a.sendMu.Lock()
+	defer a.sendMu.Unlock()
 	a.mu.Lock()
 	current := a.current
 	a.mu.Unlock()
@@ -110,8 +118,8 @@
 	req.Header.SetContentType("application/json")
 	req.SetBody(body)
 	deadline := time.Now().Add(callTimeout)
-	if bound, ok := ctx.Deadline(); ok && bound.Before(deadline) {
-		deadline = bound
+	if ctxDeadline, ok := ctx.Deadline(); ok && ctxDeadline.Before(deadline) {
+		deadline = ctxDeadline
 	}
 	if err := a.client.DoDeadline(req, resp, deadline); err != nil {
 		return Lease{}, fmt.Errorf("announcing to %s: %w", a.node, err)
