--- a/internal/asserter/asserter.go
+++ b/internal/asserter/asserter.go
@@ -1,4 +1,4 @@
-// Package asserter checks invariants inside the program.
+// Package asserter checks invariants at run time.
 package asserter
 
 import (
@@ -10,22 +10,26 @@
 )
 
 var (
-	failures atomic.Int64
-	observer atomic.Pointer[func(name, detail string)]
+	// failures counts the failed invariants of the process.
+	failures       atomic.Int64
+	failureHandler atomic.Pointer[func(name, detail string)]
 )
 
-// Observe replaces what happens when an invariant fails in production. Tests panic regardless.
+// Observe sets the function that is called, after the failure was counted, when an invariant fails in
+// production. It replaces the function that was set before. Under a test a failure panics regardless.
+// It is safe for concurrent use.
 func Observe(f func(name, detail string)) {
-	observer.Store(&f)
+	failureHandler.Store(&f)
 }
 
-// Failures returns the number of invariants that failed since the start of the process.
+// Failures returns how often an invariant has failed since the start of the process.
 func Failures() int64 {
 	return failures.Load()
 }
 
-// That fails the named invariant unless holds is true. A failure panics under a test; in
-// production it is counted and observed. It returns holds, so that callers can fail safe.
+// That reports a failure of the named invariant unless holds is true. Under a test a failure panics. In
+// production it is counted, here and in a metric, and passed to the function set by Observe, with the
+// formatted detail. That returns holds, so that callers can fail safe.
 func That(holds bool, name, format string, args ...any) bool {
 	if holds {
 		return true
@@ -36,7 +40,7 @@
 	}
 	failures.Add(1)
 	metrics.GetOrCreateCounter(fmt.Sprintf("marigoldrelay_invariant_failures_total{name=%q}", name)).Inc()
-	if f := observer.Load(); f != nil {
+	if f := failureHandler.Load(); f != nil {
 		(*f)(name, detail)
 	}
 	return false
