--- a/internal/quantiler/quantiler.go
+++ b/internal/quantiler/quantiler.go
@@ -1,4 +1,4 @@
-// Package quantiler estimates a quantile of a stream in constant memory.
+// Package quantiler estimates a quantile of a stream of durations in constant memory.
 package quantiler
 
 import (
@@ -8,35 +8,36 @@
 )
 
 const (
-	// tailSamples is how many samples on the rarer side of the quantile an estimate needs, on average,
-	// before it is used; it needs minSamples in any case.
+	// tailSamples is how many samples an estimate needs, on average, on the rarer side of the quantile
+	// before it is used. It needs at least minSamples in any case.
 	tailSamples = 1.0
 	minSamples  = 8
-	minSample   = time.Microsecond
-	// step is the size of both steps together, as a logarithm.
-	step = 0.2
+	// minSample is used in place of shorter samples, so that every logarithm is finite.
+	minSample = time.Microsecond
+	// logStep is the sum of the step up and the step down, in units of the natural logarithm.
+	logStep = 0.2
 )
 
-// Estimate follows one quantile of the durations that it observes, by steps up and down whose sizes
-// balance at the quantile (frugal streaming; Ma, Muthukrishnan and Sandler, 2013). It is safe for
-// concurrent use.
+// Estimate tracks one quantile of the durations that it observes. Each sample above the estimate moves it
+// up and any other moves it down, by step sizes that balance at the quantile (frugal streaming; Ma,
+// Muthukrishnan and Sandler, 2013). The steps are multiplicative. It is safe for concurrent use.
 type Estimate struct {
-	needed   int
-	quantile float64
+	requiredSamples int
+	quantile        float64
 
 	mu      sync.Mutex
 	samples int
-	// value is the logarithm of the estimate in seconds.
-	value float64
+	// logEstimate is the natural logarithm of the estimate in seconds.
+	logEstimate float64
 }
 
-// New returns an estimate of the quantile, which is between 0 and 1.
+// New returns an estimate of the given quantile, which is between 0 and 1.
 func New(quantile float64) *Estimate {
-	rarer := min(quantile, 1-quantile)
-	return &Estimate{needed: max(minSamples, int(math.Round(tailSamples/rarer))), quantile: quantile}
+	tail := min(quantile, 1-quantile)
+	return &Estimate{requiredSamples: max(minSamples, int(math.Round(tailSamples/tail))), quantile: quantile}
 }
 
-// Observe takes one sample.
+// Observe updates the estimate with one sample.
 func (e *Estimate) Observe(sample time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -44,20 +45,20 @@
 	e.samples++
 	switch {
 	case e.samples == 1:
-		e.value = logarithm
-	case logarithm > e.value:
-		e.value += step * e.quantile
+		e.logEstimate = logarithm
+	case logarithm > e.logEstimate:
+		e.logEstimate += logStep * e.quantile
 	default:
-		e.value -= step * (1 - e.quantile)
+		e.logEstimate -= logStep * (1 - e.quantile)
 	}
 }
 
-// Value returns the estimate, or zero while too little is known.
+// Value returns the estimate, or zero while there are too few samples.
 func (e *Estimate) Value() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.samples < e.needed {
+	if e.samples < e.requiredSamples {
 		return 0
 	}
-	return time.Duration(math.Exp(e.value) * float64(time.Second))
+	return time.Duration(math.Exp(e.logEstimate) * float64(time.Second))
 }
--- a/internal/quantiler/quantiler_test.go
+++ b/internal/quantiler/quantiler_test.go
@@ -7,25 +7,27 @@
 	"time"
 )
 
-func TestEstimateFollowsTheQuantile(t *testing.T) {
+// TestEstimateTracksQuantile guards against an estimate that misses its quantile, in particular after the
+// mean of the samples has changed. The first 2000 samples after each change are not compared.
+func TestEstimateTracksQuantile(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	e := New(0.95)
 	for _, mean := range []time.Duration{10 * time.Millisecond, 100 * time.Millisecond, 5 * time.Millisecond} {
-		above, measured := 0, 0
+		above, compared := 0, 0
 		for i := range 20000 {
 			sample := time.Duration(random.ExpFloat64() * float64(mean))
 			if i >= 2000 {
-				measured++
+				compared++
 				if sample > e.Value() {
 					above++
 				}
 			}
 			e.Observe(sample)
 		}
-		part := float64(above) / float64(measured)
-		t.Logf("mean %s: %.3f of the samples are above the estimate", mean, part)
-		if math.Abs(part-0.05) > 0.02 {
-			t.Errorf("mean %s: %.3f of the samples are above the estimate, want about 0.05", mean, part)
+		share := float64(above) / float64(compared)
+		t.Logf("mean %s: %.3f of the samples are above the estimate", mean, share)
+		if math.Abs(share-0.05) > 0.02 {
+			t.Errorf("mean %s: %.3f of the samples are above the estimate, want about 0.05", mean, share)
 		}
 	}
 }
