--- a/internal/timekeeper/timekeeper.go
+++ b/internal/timekeeper/timekeeper.go
@@ -1,4 +1,4 @@
-// Package timekeeper provides the clock that every other package is given.
+// Package timekeeper defines the clock that other packages take as a dependency.
 package timekeeper
 
 import (
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// Clock tells the time and runs functions later.
+// Clock returns the current time and schedules function calls.
 type Clock interface {
-	// AfterFunc calls f in its own goroutine after d.
+	// AfterFunc calls f in its own goroutine after d. The Timer can cancel or postpone the call.
 	AfterFunc(d time.Duration, f func()) Timer
 	// Now returns the current time with its monotonic reading.
 	Now() time.Time
 }
 
-// Timer is a pending call of AfterFunc.
+// Timer is a call that was scheduled with AfterFunc.
 type Timer interface {
-	// Reset changes the timer to expire after d. It reports whether the timer was active.
+	// Reset reschedules the call to d from now. It reports whether the timer was active.
 	Reset(d time.Duration) bool
-	// Stop prevents the call. It reports whether the timer was active.
+	// Stop cancels the call if it has not started. It reports whether the timer was active.
 	Stop() bool
 }
 
-// System is the Clock of the operating system.
+// System is the Clock that uses the time and the timers of package time.
 type System struct{}
 
 // AfterFunc implements Clock.
@@ -35,13 +35,13 @@
 	return time.Now()
 }
 
-// Sleep waits for d or until ctx is done.
+// Sleep waits until d has passed on the clock or ctx is done.
 func Sleep(ctx context.Context, clock Clock, d time.Duration) {
-	woken := make(chan struct{})
-	timer := clock.AfterFunc(d, func() { close(woken) })
+	expired := make(chan struct{})
+	timer := clock.AfterFunc(d, func() { close(expired) })
 	defer timer.Stop()
 	select {
-	case <-woken:
+	case <-expired:
 	case <-ctx.Done():
 	}
 }
