--- a/internal/seeder/seeder.go
+++ b/internal/seeder/seeder.go
@@ -1,5 +1,5 @@
-// Package seeder fixes the seed and the size of property tests, so that every run has the same
-// verdict.
+// Package seeder sets a fixed seed and size for the rapid property tests of a package, so that every run
+// has the same result.
 package seeder
 
 import (
@@ -10,8 +10,9 @@
 
 const seed = 1
 
-// Fix sets the number of runs and of steps in each, and the seed. The command line's flags
-// -rapid.checks, -rapid.steps and -rapid.seed go before them. It is called from init.
+// Fix sets the number of checks of a property, the number of steps in each, and the seed. The flags
+// -rapid.checks, -rapid.steps and -rapid.seed on the command line take precedence, because Fix is called
+// from init, before the command line is parsed. It panics if a flag is not defined.
 func Fix(checks, steps int) {
 	values := map[string]int{"rapid.checks": checks, "rapid.seed": seed, "rapid.steps": steps}
 	for name, value := range values {
@@ -21,13 +22,13 @@
 	}
 }
 
-// bubbled hides the test's deadline.
-type bubbled struct {
+// withoutDeadline wraps a test in a type without the method Deadline, so that the deadline can't be read.
+type withoutDeadline struct {
 	testing.TB
 }
 
-// InBubble returns t for a property test in a bubble of virtual time, where the deadline can't be
-// asked for.
+// InBubble wraps t for a property test in a synctest bubble, which runs on virtual time and does not allow
+// the test's deadline to be read.
 func InBubble(t *testing.T) testing.TB {
-	return bubbled{t}
+	return withoutDeadline{t}
 }
