--- a/main.go
+++ b/main.go
@@ -1,4 +1,4 @@
-// Command marigoldrelay balances load over servers whose load shifts in milliseconds.
+// Command marigoldrelay is a load balancer for servers whose load changes within milliseconds.
 package main
 
 import (
