--- a/internal/conntracker/conntracker.go
+++ b/internal/conntracker/conntracker.go
@@ -19,8 +19,8 @@
 	return &Tracker{open: make(map[net.Conn]struct{})}
 }
 
-// Follow is the ConnState callback of the server. It adds new connections and removes closed and hijacked ones.
-func (t *Tracker) Follow(conn net.Conn, state fasthttp.ConnState) {
+// OnConnState is the ConnState callback of the server. It adds new connections and removes closed and hijacked ones.
+func (t *Tracker) OnConnState(conn net.Conn, state fasthttp.ConnState) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	switch state {
@@ -31,8 +31,8 @@
 	}
 }
 
-// Cut closes all open connections at once, without waiting for their requests. Errors of closing are ignored.
-func (t *Tracker) Cut() {
+// CloseAll closes all open connections at once, without waiting for their requests. Errors of closing are ignored.
+func (t *Tracker) CloseAll() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for conn := range t.open {
--- a/internal/relayer/node.go
+++ b/internal/relayer/node.go
@@ -386,7 +386,7 @@
 	for _, l := range n.requestListeners {
 		l.Abort()
 	}
-	n.tracker.Cut()
+	n.tracker.CloseAll()
 	n.messenger.Close()
 	n.carrier.Close()
 	n.register.close()
--- a/internal/relayer/tasks.go
+++ b/internal/relayer/tasks.go
@@ -186,7 +186,7 @@
 func (n *Node) newServer(handler fasthttp.RequestHandler) *fasthttp.Server {
 	return &fasthttp.Server{
 		CloseOnShutdown:               true,
-		ConnState:                     n.tracker.Follow,
+		ConnState:                     n.tracker.OnConnState,
 		DisableHeaderNamesNormalizing: false,
 		ErrorHandler:                  n.serveError,
 		Handler:                       handler,
--- a/internal/responder/responder.go
+++ b/internal/responder/responder.go
@@ -104,7 +104,7 @@
 	})
 	r.tracker = conntracker.New()
 	r.server = &fasthttp.Server{
-		ConnState:          r.tracker.Follow,
+		ConnState:          r.tracker.OnConnState,
 		Handler:            r.serve,
 		IdleTimeout:        time.Minute,
 		Logger:             silent{},
@@ -176,7 +176,7 @@
 	}
 	r.stop()
 	_ = r.listener.Close()
-	r.tracker.Cut()
+	r.tracker.CloseAll()
 }
 
 // Running returns the number of requests in the upstream.
