--- a/internal/gossiper/digest.go
+++ b/internal/gossiper/digest.go
@@ -61,8 +61,8 @@
 	return digest
 }
 
-// Differing returns the records in the buckets in which the view differs from that of the remote digest.
-func (g *Gossiper) Differing(remote Digest) []Member {
+// DifferingMembers returns the records in the buckets in which the view differs from that of the remote digest.
+func (g *Gossiper) DifferingMembers(remote Digest) []Member {
 	own := g.Digest()
 	var members []Member
 	for _, m := range g.Members() {
--- a/internal/gossiper/gossiper.go
+++ b/internal/gossiper/gossiper.go
@@ -297,9 +297,9 @@
 	}
 }
 
-// TellLoad sends the load of the local upstream to the named members, in one packet each without
+// SendLoad sends the load of the local upstream to the named members, in one packet each without
 // acknowledgement. Unknown names and the member's own are skipped.
-func (g *Gossiper) TellLoad(to []string, load Load) {
+func (g *Gossiper) SendLoad(to []string, load Load) {
 	data, err := g.codec.Encode(&Packet{Kind: KindLoad, Sender: g.self, Load: &load})
 	if err != nil {
 		return
--- a/internal/gossiper/network_test.go
+++ b/internal/gossiper/network_test.go
@@ -112,7 +112,7 @@
 		return
 	}
 	e.net.schedule(2*oneWayDelay, func() {
-		otherRecords, ownRecords := other.Differing(own.Digest()), own.Differing(other.Digest())
+		otherRecords, ownRecords := other.DifferingMembers(own.Digest()), own.DifferingMembers(other.Digest())
 		own.Merge(otherRecords)
 		other.Merge(ownRecords)
 	})
--- a/internal/gossiper/packet.go
+++ b/internal/gossiper/packet.go
@@ -40,11 +40,11 @@
 	Queued  int `cbor:"1,keyasint,omitempty"`
 	Running int `cbor:"2,keyasint,omitempty"`
 	Slots   int `cbor:"3,keyasint,omitempty"`
-	// Slowdown is how much longer than usual requests take, in percent; zero if unknown.
-	Slowdown int `cbor:"4,keyasint,omitempty"`
-	// Best is the share of its slots, in percent, at which the upstream has its highest throughput; zero if
-	// its node has not learned it.
-	Best int `cbor:"5,keyasint,omitempty"`
+	// SlowdownPercent is how much longer than usual requests take, in percent; zero if unknown.
+	SlowdownPercent int `cbor:"4,keyasint,omitempty"`
+	// BestSlotsPercent is the share of its slots, in percent, at which the upstream has its highest throughput;
+	// zero if its node has not learned it.
+	BestSlotsPercent int `cbor:"5,keyasint,omitempty"`
 }
 
 // Packet is the decoded content of one datagram between members.
--- a/internal/relayer/node.go
+++ b/internal/relayer/node.go
@@ -212,7 +212,7 @@
 		messenger: n.messenger, self: n.settings.Name, siblings: n.router.Members,
 		sendLoad: func(entries []string, load gossiper.Load) {
 			n.dispatcher.LoadSeen(n.settings.Name, loadFromGossip(load))
-			n.gossiper.TellLoad(entries, load)
+			n.gossiper.SendLoad(entries, load)
 		},
 	}
 	n.executor = executor.New(executor.Config{
--- a/internal/relayer/peerclient.go
+++ b/internal/relayer/peerclient.go
@@ -63,15 +63,15 @@
 // TellLoad implements executor.Links.
 func (c *peerClient) TellLoad(entries []string, load carrier.Load) {
 	c.sendLoad(entries, gossiper.Load{
-		Queued: load.Queued, Running: load.Running, Slots: load.Slots, Slowdown: int(100 * load.Slowdown),
-		Best: int(math.Round(100 * load.Best)),
+		Queued: load.Queued, Running: load.Running, Slots: load.Slots, SlowdownPercent: int(100 * load.Slowdown),
+		BestSlotsPercent: int(math.Round(100 * load.Best)),
 	})
 }
 
 // LoadSeen implements gossiper.Observer.
 func (n *Node) LoadSeen(from gossiper.Member, load gossiper.Load) {
 	n.log.Debug("The load of a node changed.", "member", from.Name, "running", load.Running,
-		"queued", load.Queued, "slots", load.Slots, "slowdown-percent", load.Slowdown)
+		"queued", load.Queued, "slots", load.Slots, "slowdown-percent", load.SlowdownPercent)
 	seen := loadFromGossip(load)
 	n.dispatcher.LoadSeen(from.Name, seen)
 	n.reportSiblingLoad(from.Name, seen)
@@ -79,8 +79,8 @@
 
 func loadFromGossip(load gossiper.Load) carrier.Load {
 	return carrier.Load{
-		Queued: load.Queued, Running: load.Running, Slots: load.Slots, Slowdown: float64(load.Slowdown) / 100,
-		Best: float64(load.Best) / 100,
+		Queued: load.Queued, Running: load.Running, Slots: load.Slots, Slowdown: float64(load.SlowdownPercent) / 100,
+		Best: float64(load.BestSlotsPercent) / 100,
 	}
 }
 
@@ -177,6 +177,6 @@
 	})
 	addHandler(m, methodSync, func(_ context.Context, p syncRequest) (syncReply, error) {
 		n.gossiper.Merge(p.Members)
-		return syncReply{Digest: n.gossiper.Digest(), Members: n.gossiper.Differing(p.Digest)}, nil
+		return syncReply{Digest: n.gossiper.Digest(), Members: n.gossiper.DifferingMembers(p.Digest)}, nil
 	})
 }
--- a/internal/relayer/tasks.go
+++ b/internal/relayer/tasks.go
@@ -262,7 +262,7 @@
 		return err
 	}
 	n.gossiper.Merge(reply.Members)
-	missing := n.gossiper.Differing(reply.Digest)
+	missing := n.gossiper.DifferingMembers(reply.Digest)
 	if len(missing) == 0 {
 		return nil
 	}
