--- a/internal/registrar/order_test.go
+++ b/internal/registrar/order_test.go
@@ -56,7 +56,7 @@
 	if _, err := r.Announce(numbered("i1", 100, 2, announcer.StateReady)); !errors.Is(err, ErrOutdated) {
 		t.Errorf("an announcement after the withdrawal: %v", err)
 	}
-	r.Found(numbered("i1", 0, 0, announcer.StateReady))
+	r.AddDiscovered(numbered("i1", 0, 0, announcer.StateReady))
 	if state := r.Current().State; state != announcer.StateDraining {
 		t.Errorf("the state of a withdrawn upstream is %s", state)
 	}
@@ -66,20 +66,20 @@
 	}
 }
 
-// TestFoundUpstream guards against a running upstream that is not used after a restart of the node, or after it
+// TestDiscoveredUpstream guards against a running upstream that is not used after a restart of the node, or after it
 // was marked as down, although it was discovered.
-func TestFoundUpstream(t *testing.T) {
+func TestDiscoveredUpstream(t *testing.T) {
 	r := New(timekeeper.System{}, func(announcer.Announcement) {})
-	found := announcement(announcer.StateReady)
-	r.Found(found)
+	discovered := announcement(announcer.StateReady)
+	r.AddDiscovered(discovered)
 	if state := r.Current().State; state != announcer.StateReady {
 		t.Errorf("the state of a discovered upstream is %s", state)
 	}
 	if _, err := r.Announce(numbered("i1", 100, 7, announcer.StateReady)); err != nil {
 		t.Fatal(err)
 	}
-	r.Down("i1")
-	r.Found(found)
+	r.MarkDown("i1")
+	r.AddDiscovered(discovered)
 	if current := r.Current(); current.State != announcer.StateReady || current.Born != 100 {
 		t.Errorf("discovered again: %+v", current)
 	}
--- a/internal/registrar/registrar.go
+++ b/internal/registrar/registrar.go
@@ -166,9 +166,9 @@
 	r.onChange(draining)
 }
 
-// Found stores an upstream that was discovered without an announcement, unless the current upstream is ready
+// AddDiscovered stores an upstream that was discovered without an announcement, unless the current upstream is ready
 // or the discovered one is shutting down.
-func (r *Registrar) Found(a announcer.Announcement) {
+func (r *Registrar) AddDiscovered(a announcer.Announcement) {
 	r.mu.Lock()
 	current, isLeaving := r.current, r.isLeaving
 	r.mu.Unlock()
@@ -182,8 +182,8 @@
 	_, _ = r.Announce(a)
 }
 
-// Down ends the lease of an instance whose process is gone. Its next announcement begins a new lease.
-func (r *Registrar) Down(instance string) {
+// MarkDown ends the lease of an instance whose process is gone. Its next announcement begins a new lease.
+func (r *Registrar) MarkDown(instance string) {
 	r.notifyMu.Lock()
 	defer r.notifyMu.Unlock()
 	r.mu.Lock()
--- a/internal/relayer/node.go
+++ b/internal/relayer/node.go
@@ -222,7 +222,7 @@
 		Links:       peers,
 		Meter:       n.meter,
 		Name:        n.settings.Name,
-		OnDown:      func(instance string) { n.registrar.Down(instance) },
+		OnDown:      func(instance string) { n.registrar.MarkDown(instance) },
 		Quarantiner: n.quarantiner,
 		Recorder:    n.recorder,
 		Repeats:     budgeter.NewRepeats(n.clock, n.repeatLimits),
--- a/internal/relayer/probernode.go
+++ b/internal/relayer/probernode.go
@@ -14,7 +14,7 @@
 // Found registers an upstream that a probe has found healthy.
 func (p proberNode) Found(a announcer.Announcement) {
 	p.node.log.Info("An upstream was found.", "instance", a.Instance, "service", a.Service)
-	p.node.registrar.Found(a)
+	p.node.registrar.AddDiscovered(a)
 }
 
 // Report passes the load that the upstream itself reports to the executor.
