--- a/internal/prober/prober.go
+++ b/internal/prober/prober.go
@@ -31,8 +31,8 @@
 	probeTimeout = 300 * time.Millisecond
 )
 
-// Subject is what the node knows of its local upstream.
-type Subject struct {
+// Target is what the node knows of its local upstream.
+type Target struct {
 	// Address is not valid if the upstream's address is unknown.
 	Address netip.AddrPort
 	// HealthPath is empty if the upstream can't be probed.
@@ -45,8 +45,8 @@
 	// Running is true while requests run at the upstream.
 	Running bool
 	Service string
-	// TellsLoad is true if the upstream has reported its load before.
-	TellsLoad bool
+	// ReportsLoad is true if the upstream has reported its load before.
+	ReportsLoad bool
 }
 
 // Counter counts events by name.
@@ -61,12 +61,13 @@
 
 // Node provides the upstream to probe and receives the results.
 type Node interface {
-	// Found is called with an upstream that was not known to be ready and has answered that it is healthy.
-	Found(a announcer.Announcement)
+	// UpstreamDiscovered is called with an upstream that was not known to be ready and has answered that it is
+	// healthy.
+	UpstreamDiscovered(a announcer.Announcement)
 	// Report is called with the load from an answer of a ready upstream.
 	Report(load interpreter.Load)
-	// Subject returns what is currently known of the upstream.
-	Subject() Subject
+	// Target returns what is currently known of the upstream.
+	Target() Target
 }
 
 // Prober probes one upstream. It is not safe for concurrent use.
@@ -94,21 +95,21 @@
 
 // probeIfNeeded probes the upstream if that is needed now, and returns the time until the next check.
 func (p *Prober) probeIfNeeded(ctx context.Context) time.Duration {
-	subject := p.node.Subject()
-	if !subject.Address.IsValid() || subject.HealthPath == "" {
+	target := p.node.Target()
+	if !target.Address.IsValid() || target.HealthPath == "" {
 		return unconfiguredInterval
 	}
-	if !subject.IsReady {
-		p.discover(ctx, &subject)
+	if !target.IsReady {
+		p.discover(ctx, &target)
 		return discoveryInterval
 	}
-	if !subject.Running && subject.TellsLoad {
+	if !target.Running && target.ReportsLoad {
 		return idleInterval
 	}
-	if subject.TellsLoad && subject.LoadAge < busyInterval {
-		return busyInterval - subject.LoadAge
+	if target.ReportsLoad && target.LoadAge < busyInterval {
+		return busyInterval - target.LoadAge
 	}
-	answer, status := p.probe(ctx, &subject)
+	answer, status := p.probe(ctx, &target)
 	if status == 0 || !answer.HasLoad {
 		return discoveryInterval
 	}
@@ -118,37 +119,37 @@
 
 // discover probes an upstream that is not known to be ready. It reports the known process to the node, or any
 // process if none is known, when the upstream is healthy.
-func (p *Prober) discover(ctx context.Context, subject *Subject) {
-	answer, status := p.probe(ctx, subject)
+func (p *Prober) discover(ctx context.Context, target *Target) {
+	answer, status := p.probe(ctx, target)
 	if status != fasthttp.StatusOK || answer.Instance == "" {
 		return
 	}
-	if subject.Instance != "" && answer.Instance != subject.Instance {
+	if target.Instance != "" && answer.Instance != target.Instance {
 		// The address possibly belongs to another service by now. That service's own announcement will say so.
 		return
 	}
 	p.counter.Event("upstreams_found")
-	p.node.Found(announcer.Announcement{
-		Address: subject.Address.String(), Instance: answer.Instance, Service: subject.Service,
+	p.node.UpstreamDiscovered(announcer.Announcement{
+		Address: target.Address.String(), Instance: answer.Instance, Service: target.Service,
 		Slots: max(1, answer.Load.Slots), State: announcer.StateReady,
 	})
 }
 
 // probe sends a health request. It returns the answer and its HTTP status, or the status zero if there was no
 // answer.
-func (p *Prober) probe(ctx context.Context, subject *Subject) (interpreter.Answer, int) {
-	if p.pool == nil || p.address != subject.Address {
+func (p *Prober) probe(ctx context.Context, target *Target) (interpreter.Answer, int) {
+	if p.pool == nil || p.address != target.Address {
 		if p.pool != nil {
 			p.pool.Close()
 		}
-		p.address = subject.Address
-		p.pool = forwarder.New(subject.Address, p.clock, forwarder.WithMaxBody(forwarder.ShortMaxBody))
+		p.address = target.Address
+		p.pool = forwarder.New(target.Address, p.clock, forwarder.WithMaxBody(forwarder.ShortMaxBody))
 	}
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
-	req.SetRequestURI(subject.HealthPath)
-	req.Header.SetHost(subject.Address.String())
+	req.SetRequestURI(target.HealthPath)
+	req.Header.SetHost(target.Address.String())
 	p.counter.Event("probes")
 	err := p.pool.Do(ctx, &forwarder.Exchange{
 		Deadline: p.clock.Now().Add(probeTimeout), Request: req, Response: resp,
--- a/internal/relayer/probernode.go
+++ b/internal/relayer/probernode.go
@@ -11,8 +11,8 @@
 	node *Node
 }
 
-// Found registers an upstream that a probe has found healthy.
-func (p proberNode) Found(a announcer.Announcement) {
+// UpstreamDiscovered registers an upstream that a probe has found healthy.
+func (p proberNode) UpstreamDiscovered(a announcer.Announcement) {
 	p.node.log.Info("An upstream was found.", "instance", a.Instance, "service", a.Service)
 	p.node.registrar.AddDiscovered(a)
 }
@@ -22,24 +22,24 @@
 	p.node.executor.Report(load)
 }
 
-// Subject returns what the prober needs to know about the upstream.
-func (p proberNode) Subject() prober.Subject {
+// Target returns what the prober needs to know about the upstream.
+func (p proberNode) Target() prober.Target {
 	n := p.node
 	_, address, _ := n.upstream.current()
 	if !address.IsValid() {
 		address = n.settings.UpstreamAddress
 	}
 	current := n.registrar.Current()
-	subject := prober.Subject{
+	target := prober.Target{
 		Address:  address,
 		Instance: current.Instance,
 		IsReady:  current.State == announcer.StateReady,
 		Service:  n.service(),
 	}
-	subject.LoadAge, subject.Running, subject.TellsLoad = n.executor.LoadAge()
+	target.LoadAge, target.Running, target.ReportsLoad = n.executor.LoadAge()
 	if document := n.currentDocument(); document != nil {
-		service, _ := document.ServiceNamed(subject.Service)
-		subject.HealthPath = service.HealthPath
+		service, _ := document.ServiceNamed(target.Service)
+		target.HealthPath = service.HealthPath
 	}
-	return subject
+	return target
 }
