--- a/internal/claimer/claimer.go
+++ b/internal/claimer/claimer.go
@@ -33,8 +33,8 @@
 // ErrNoMajority provides the detail of a refusal when too few owners of the key could be reached.
 var ErrNoMajority = merry.Sentinel("too few owners of the idempotency key can be reached")
 
-// Links sends messages to the owners of keys.
-type Links interface {
+// OwnerClient sends messages to the owners of keys.
+type OwnerClient interface {
 	// Claim sends a claim and returns the owner's record of the key.
 	Claim(ctx context.Context, to gossiper.Member, claim Claim) (Record, error)
 	// Release gives up a claim whose request has not run.
@@ -54,13 +54,13 @@
 // Claimer claims keys on behalf of one entry node. It is safe for concurrent use.
 type Claimer struct {
 	clock   timekeeper.Clock
-	links   Links
+	client  OwnerClient
 	members Members
 }
 
-// New returns a claimer that reaches the owners through links.
-func New(clock timekeeper.Clock, links Links, members Members) *Claimer {
-	return &Claimer{clock: clock, links: links, members: members}
+// New returns a claimer that reaches the owners through client.
+func New(clock timekeeper.Clock, client OwnerClient, members Members) *Claimer {
+	return &Claimer{clock: clock, client: client, members: members}
 }
 
 // ownersOf returns the owners of the key by rendezvous hashing (highest random weight; Thaler and Ravishankar,
@@ -155,7 +155,7 @@
 	replies := make(chan reply, len(owners))
 	for i, owner := range owners {
 		go func() {
-			record, err := c.links.Claim(ctx, owner, claim)
+			record, err := c.client.Claim(ctx, owner, claim)
 			if err != nil {
 				replies <- reply{index: i}
 				return
@@ -226,7 +226,7 @@
 	}
 	c.forEachOwner(owners, func(ctx context.Context, owner gossiper.Member) {
 		// An owner that does not receive the settlement keeps the claim, so that the request is not run again.
-		_ = c.links.Settle(ctx, owner, settlement)
+		_ = c.client.Settle(ctx, owner, settlement)
 	})
 	return refusal
 }
@@ -234,7 +234,7 @@
 // releaseAtOwners gives up the claim at all owners. An owner that can't be reached keeps the claim.
 func (c *Claimer) releaseAtOwners(owners []gossiper.Member, claim Claim) {
 	c.forEachOwner(owners, func(ctx context.Context, owner gossiper.Member) {
-		_ = c.links.Release(ctx, owner, claim)
+		_ = c.client.Release(ctx, owner, claim)
 	})
 }
 
--- a/internal/claimer/claimer_test.go
+++ b/internal/claimer/claimer_test.go
@@ -27,7 +27,7 @@
 
 var errMessageLost = errors.New("message lost")
 
-// testOwners implements Links and Members with five owner nodes. Messages to and from them can be lost.
+// testOwners implements OwnerClient and Members with five owner nodes. Messages to and from them can be lost.
 type testOwners struct {
 	mu       sync.Mutex
 	lossRate float64
@@ -55,7 +55,7 @@
 	return o.tables[name]
 }
 
-// Claim implements Links.
+// Claim implements OwnerClient.
 func (o *testOwners) Claim(_ context.Context, to gossiper.Member, claim Claim) (Record, error) {
 	time.Sleep(time.Millisecond)
 	if o.losesMessage() {
@@ -68,7 +68,7 @@
 	return record, nil
 }
 
-// Release implements Links.
+// Release implements OwnerClient.
 func (o *testOwners) Release(_ context.Context, to gossiper.Member, claim Claim) error {
 	if o.losesMessage() {
 		return errMessageLost
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// Settle implements Links.
+// Settle implements OwnerClient.
 func (o *testOwners) Settle(_ context.Context, to gossiper.Member, settlement Settlement) error {
 	if o.losesMessage() {
 		return errMessageLost
--- a/internal/relayer/peerclient.go
+++ b/internal/relayer/peerclient.go
@@ -29,7 +29,7 @@
 
 const crashReportTimeout = 200 * time.Millisecond
 
-// peerClient sends typed messages to other nodes. It implements executor.Links and claimer.Links.
+// peerClient sends typed messages to other nodes. It implements executor.Links and claimer.OwnerClient.
 type peerClient struct {
 	messenger *messenger.Messenger
 	self      string
@@ -102,19 +102,19 @@
 	calls.Wait()
 }
 
-// Claim implements claimer.Links.
+// Claim implements claimer.OwnerClient.
 func (c *peerClient) Claim(ctx context.Context, to gossiper.Member, claim claimer.Claim) (claimer.Record, error) {
 	var record claimer.Record
 	err := c.messenger.Call(ctx, to.Control, messenger.PurposeBinding, methodClaim, claim, &record)
 	return record, err
 }
 
-// Release implements claimer.Links.
+// Release implements claimer.OwnerClient.
 func (c *peerClient) Release(ctx context.Context, to gossiper.Member, claim claimer.Claim) error {
 	return c.messenger.Call(ctx, to.Control, messenger.PurposeBinding, methodRelease, claim, nil)
 }
 
-// Settle implements claimer.Links.
+// Settle implements claimer.OwnerClient.
 func (c *peerClient) Settle(ctx context.Context, to gossiper.Member, settlement claimer.Settlement) error {
 	return c.messenger.Call(ctx, to.Control, messenger.PurposeBinding, methodSettle, settlement, nil)
 }
