--- a/internal/budgeter/bytes.go
+++ b/internal/budgeter/bytes.go
@@ -46,9 +46,9 @@
 	return b.tokens >= float64(n)
 }
 
-// Book removes n bytes that were sent from the bucket. Its level can become negative, down to minus its capacity; then
-// nothing is allowed until the bucket is refilled.
-func (b *Bytes) Book(n int) {
+// Charge removes n bytes that were sent from the bucket. Its level can become negative, down to minus its capacity;
+// then nothing is allowed until the bucket is refilled.
+func (b *Bytes) Charge(n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.refill()
--- a/internal/budgeter/repeats.go
+++ b/internal/budgeter/repeats.go
@@ -62,12 +62,12 @@
 	r.restart(r.clock.Now(), r.window)
 }
 
-// First counts the first arrival of a request that began at the given time.
-func (r *Repeats) First(began time.Time) {
+// CountFirst counts the first arrival of a request that began at the given time.
+func (r *Repeats) CountFirst(began time.Time) {
 	r.record(began, repeatSpan{firsts: 1})
 }
 
-// UndoFirst undoes a First for a request that did not arrive after all.
+// UndoFirst undoes a CountFirst for a request that did not arrive after all.
 func (r *Repeats) UndoFirst(began time.Time) {
 	r.record(began, repeatSpan{firsts: -1})
 }
--- a/internal/budgeter/repeats_test.go
+++ b/internal/budgeter/repeats_test.go
@@ -58,7 +58,7 @@
 			case "firsts":
 				late := time.Duration(rapid.IntRange(0, 800).Draw(t, "late")) * time.Millisecond
 				for range rapid.IntRange(1, 150).Draw(t, "firsts") {
-					all[i].First(clock.now.Add(-late))
+					all[i].CountFirst(clock.now.Add(-late))
 					firsts = append(firsts, clock.now.Add(-late))
 				}
 			case "repeats":
@@ -98,7 +98,7 @@
 	taken := 0
 	for i := range rate * seconds {
 		clock.now = clock.now.Add(time.Second / rate)
-		repeats.First(clock.now)
+		repeats.CountFirst(clock.now)
 		if repeats.Take(1) && i >= rate*warmUpSeconds {
 			taken++
 		}
@@ -127,7 +127,7 @@
 func BenchmarkRepeats(b *testing.B) {
 	repeats := newTestRepeats(timekeeper.System{}, 4)
 	for b.Loop() {
-		repeats.First(time.Now())
+		repeats.CountFirst(time.Now())
 		repeats.Take(1)
 	}
 }
--- a/internal/executor/harness_test.go
+++ b/internal/executor/harness_test.go
@@ -197,7 +197,7 @@
 
 // Reserve implements Links.
 func (m *member) Reserve(_ context.Context, to gossiper.Member, request ReserveRequest) error {
-	m.Bytes.Book(reservationBytes)
+	m.Bytes.Charge(reservationBytes)
 	time.Sleep(m.group.networkDelay)
 	if target := m.group.memberByName(to.Name); !target.down.Load() && !m.group.isLost("reserve") {
 		target.Executor.Reserve(request)
--- a/internal/executor/repeat.go
+++ b/internal/executor/repeat.go
@@ -40,7 +40,7 @@
 // reverts this, or a refusal for a repeat that the repeat budget does not cover.
 func (e *Executor) recordArrival(x *Execution) (undo func(), refusal *refuser.Refusal) {
 	if x.Attempt.Try == carrier.TryFirst {
-		e.Repeats.First(x.requestArrived)
+		e.Repeats.CountFirst(x.requestArrived)
 		return func() { e.Repeats.UndoFirst(x.requestArrived) }, nil
 	}
 	now := e.Clock.Now()
--- a/internal/relayer/node.go
+++ b/internal/relayer/node.go
@@ -352,9 +352,9 @@
 	m.node.meter.Count(purpose, bytes)
 	switch purpose {
 	case messenger.PurposeBinding.String():
-		m.node.bindingBudget.Book(bytes)
+		m.node.bindingBudget.Charge(bytes)
 	case messenger.PurposeMembership.String():
-		m.node.membershipBudget.Book(bytes)
+		m.node.membershipBudget.Charge(bytes)
 	}
 }
 
@@ -364,7 +364,7 @@
 		return
 	}
 	n.meter.Count("gossip", len(datagram)+datagramHeaderBytes)
-	n.gossipBudget.Book(len(datagram) + datagramHeaderBytes)
+	n.gossipBudget.Charge(len(datagram) + datagramHeaderBytes)
 	// A failed send is treated like a lost datagram.
 	_, _ = n.udpConn.WriteToUDPAddrPort(datagram, to)
 }
