--- a/internal/executor/executor.go
+++ b/internal/executor/executor.go
@@ -63,7 +63,7 @@
 	// or a short timeout has passed.
 	ReportCrash(ctx context.Context, crash quarantiner.Crash)
 	// ReportInnocent reports to the other nodes of the service that a request has run without a crash.
-	ReportInnocent(ctx context.Context, acquittal quarantiner.Acquittal)
+	ReportInnocent(ctx context.Context, cleared quarantiner.ClearedSuspect)
 	// TellLoad sends the upstream's current load to the entry nodes.
 	TellLoad(entries []string, load carrier.Load)
 	// Reserve places a reservation with a sibling.
@@ -136,9 +136,9 @@
 type Executor struct {
 	Config
 
-	document atomic.Pointer[validator.Document]
-	draining atomic.Bool
-	proven   *quarantiner.Proven
+	document         atomic.Pointer[validator.Document]
+	draining         atomic.Bool
+	safeFingerprints *quarantiner.SafeFingerprints
 
 	mu           sync.Mutex
 	announcement announcer.Announcement
@@ -156,14 +156,14 @@
 // New returns an executor whose upstream is gone until Announced is called.
 func New(config Config) *Executor {
 	return &Executor{
-		Config:       config,
-		announcement: announcer.Announcement{State: announcer.StateGone},
-		grants:       make(map[uint64]*scheduler.Waiter),
-		inFlight:     make(map[*Execution]quarantiner.Fingerprint),
-		limit:        limiter.New(1),
-		proven:       quarantiner.NewProven(),
-		schedule:     scheduler.New(0, scheduler.Config{}),
-		retrySpent:   make(map[string]time.Time),
+		Config:           config,
+		announcement:     announcer.Announcement{State: announcer.StateGone},
+		grants:           make(map[uint64]*scheduler.Waiter),
+		inFlight:         make(map[*Execution]quarantiner.Fingerprint),
+		limit:            limiter.New(1),
+		safeFingerprints: quarantiner.NewSafeFingerprints(),
+		schedule:         scheduler.New(0, scheduler.Config{}),
+		retrySpent:       make(map[string]time.Time),
 	}
 }
 
@@ -410,7 +410,7 @@
 	if e.Quarantiner.IsEmpty() {
 		return nil
 	}
-	remaining := e.Quarantiner.Barred(e.fingerprint(x))
+	remaining := e.Quarantiner.QuarantineLeft(e.fingerprint(x))
 	if remaining <= 0 {
 		return nil
 	}
--- a/internal/executor/harness_test.go
+++ b/internal/executor/harness_test.go
@@ -215,9 +215,9 @@
 }
 
 // ReportInnocent implements Links.
-func (m *member) ReportInnocent(_ context.Context, acquittal quarantiner.Acquittal) {
+func (m *member) ReportInnocent(_ context.Context, cleared quarantiner.ClearedSuspect) {
 	for _, other := range m.group.members {
-		other.Quarantiner.Clear(acquittal.Fingerprint)
+		other.Quarantiner.Clear(cleared.Fingerprint)
 	}
 }
 
--- a/internal/executor/run.go
+++ b/internal/executor/run.go
@@ -83,12 +83,12 @@
 	e.mu.Lock()
 	fingerprint := e.inFlight[x]
 	e.mu.Unlock()
-	e.proven.Add(fingerprint)
+	e.safeFingerprints.Add(fingerprint)
 	if e.Quarantiner.IsEmpty() {
 		return
 	}
 	if e.Quarantiner.Clear(fingerprint) {
-		go e.Links.ReportInnocent(context.Background(), quarantiner.Acquittal{Fingerprint: fingerprint, Service: x.Attempt.Service})
+		go e.Links.ReportInnocent(context.Background(), quarantiner.ClearedSuspect{Fingerprint: fingerprint, Service: x.Attempt.Service})
 	}
 }
 
@@ -216,7 +216,7 @@
 	}
 	crash := quarantiner.Crash{Instance: instance, Service: e.announcement.Service}
 	for _, fingerprint := range e.inFlight {
-		if !e.proven.Has(fingerprint) {
+		if !e.safeFingerprints.Has(fingerprint) {
 			crash.Fingerprints = append(crash.Fingerprints, fingerprint)
 		}
 	}
--- a/internal/quarantiner/quarantiner.go
+++ b/internal/quarantiner/quarantiner.go
@@ -48,8 +48,8 @@
 	Service  string `json:"service"`
 }
 
-// Acquittal identifies a request that ran during a crash and has since run without one.
-type Acquittal struct {
+// ClearedSuspect identifies a request that ran during a crash and has since run without one.
+type ClearedSuspect struct {
 	Fingerprint Fingerprint `json:"fingerprint"`
 	Service     string      `json:"service"`
 }
@@ -121,9 +121,9 @@
 	}
 }
 
-// Known returns the crashes of a service that current suspicions and quarantines are based on, one for each upstream
-// instance.
-func (q *Quarantiner) Known(service string) []Crash {
+// KnownCrashes returns the crashes of a service that current suspicions and quarantines are based on, one for each
+// upstream instance.
+func (q *Quarantiner) KnownCrashes(service string) []Crash {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := q.clock.Now()
@@ -163,8 +163,8 @@
 	return true
 }
 
-// Barred returns how long the fingerprint stays quarantined, or zero if it is not quarantined.
-func (q *Quarantiner) Barred(fingerprint Fingerprint) time.Duration {
+// QuarantineLeft returns how long the fingerprint stays quarantined, or zero if it is not quarantined.
+func (q *Quarantiner) QuarantineLeft(fingerprint Fingerprint) time.Duration {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	s, ok := q.suspects[fingerprint]
--- a/internal/quarantiner/quarantiner_test.go
+++ b/internal/quarantiner/quarantiner_test.go
@@ -13,18 +13,18 @@
 		q := New(timekeeper.System{}, nil)
 		q.Report(Crash{Fingerprints: []Fingerprint{1, 2}, Instance: "u1"})
 		q.Report(Crash{Fingerprints: []Fingerprint{1, 2}, Instance: "u1"})
-		if q.Barred(1) > 0 || !q.IsSuspect(1) {
+		if q.QuarantineLeft(1) > 0 || !q.IsSuspect(1) {
 			t.Error("the same crash reported twice must suspect and not quarantine")
 		}
 		q.Report(Crash{Fingerprints: []Fingerprint{1}, Instance: "u2"})
-		if q.Barred(1) <= 0 {
+		if q.QuarantineLeft(1) <= 0 {
 			t.Error("a second crash must quarantine")
 		}
-		if q.Barred(2) > 0 {
+		if q.QuarantineLeft(2) > 0 {
 			t.Error("a request that ran during one crash must not be quarantined")
 		}
 		time.Sleep(quarantineTime + time.Second)
-		if q.Barred(1) > 0 || q.IsSuspect(2) {
+		if q.QuarantineLeft(1) > 0 || q.IsSuspect(2) {
 			t.Error("the quarantine must expire")
 		}
 	})
@@ -38,17 +38,17 @@
 		first.Report(Crash{Fingerprints: []Fingerprint{1, 2}, Instance: "u1", Service: "s"})
 		first.Report(Crash{Fingerprints: []Fingerprint{1}, Instance: "u2", Service: "s"})
 		time.Sleep(quarantineTime / 2)
-		if known := first.Known("other"); len(known) > 0 {
+		if known := first.KnownCrashes("other"); len(known) > 0 {
 			t.Errorf("crashes of another service: %v", known)
 		}
-		for _, crash := range first.Known("s") {
+		for _, crash := range first.KnownCrashes("s") {
 			next.Report(crash)
 		}
-		if left := next.Barred(1); left <= 0 || left > quarantineTime/2 || next.Barred(2) > 0 || !next.IsSuspect(2) {
-			t.Errorf("quarantined for %s, the other for %s", left, next.Barred(2))
+		if left := next.QuarantineLeft(1); left <= 0 || left > quarantineTime/2 || next.QuarantineLeft(2) > 0 || !next.IsSuspect(2) {
+			t.Errorf("quarantined for %s, the other for %s", left, next.QuarantineLeft(2))
 		}
 		time.Sleep(quarantineTime/2 + time.Second)
-		if next.Barred(1) > 0 || next.IsSuspect(2) {
+		if next.QuarantineLeft(1) > 0 || next.IsSuspect(2) {
 			t.Error("the quarantine outlasts the first node's")
 		}
 	})
--- a/internal/relayer/crashreplay.go
+++ b/internal/relayer/crashreplay.go
@@ -42,7 +42,7 @@
 
 // replayCrashesTo sends the known crashes of a member's service to it and reports whether all were delivered.
 func (n *Node) replayCrashesTo(ctx context.Context, m gossiper.Member) bool {
-	for _, crash := range n.quarantiner.Known(m.Service) {
+	for _, crash := range n.quarantiner.KnownCrashes(m.Service) {
 		callCtx, cancel := context.WithTimeout(ctx, crashReportTimeout)
 		err := n.messenger.Call(callCtx, m.Control, messenger.PurposeMembership, methodCrash, crash, nil)
 		cancel()
--- a/internal/relayer/eventlog.go
+++ b/internal/relayer/eventlog.go
@@ -123,8 +123,8 @@
 		"target", target, "neighbour", call.Neighbour, "reason", reason, "took", n.clock.Now().Sub(call.Started))
 }
 
-// requestBarred logs that a kind of request is no longer run because upstreams crashed while it ran.
-func (n *Node) requestBarred(fingerprint quarantiner.Fingerprint, upstreams int, d time.Duration) {
+// requestQuarantined logs that a kind of request is no longer run because upstreams crashed while it ran.
+func (n *Node) requestQuarantined(fingerprint quarantiner.Fingerprint, upstreams int, d time.Duration) {
 	n.log.Warn("A request is barred: upstreams crashed while it ran.", "fingerprint", fingerprint, "upstreams", upstreams, "for", d)
 }
 
--- a/internal/relayer/node.go
+++ b/internal/relayer/node.go
@@ -141,7 +141,7 @@
 	n.gossipBudget = budgeter.NewBytes(n.clock, gossipShare*defaultControlBytesPerSecond)
 	n.membershipBudget = budgeter.NewBytes(n.clock, membershipShare*defaultControlBytesPerSecond)
 	n.messenger = messenger.New(secrets.Key, controlByteMeter{n})
-	n.quarantiner = quarantiner.New(n.clock, n.requestBarred)
+	n.quarantiner = quarantiner.New(n.clock, n.requestQuarantined)
 	n.recorder = recorder.New(n.clock)
 	n.claimTable = claimer.NewTable(n.clock)
 	n.upstream = newLocalUpstream(n.clock, n.interpreter, func(load interpreter.Load) { n.executor.Report(load) },
--- a/internal/relayer/peerclient.go
+++ b/internal/relayer/peerclient.go
@@ -56,8 +56,8 @@
 }
 
 // ReportInnocent implements executor.Links.
-func (c *peerClient) ReportInnocent(_ context.Context, acquittal quarantiner.Acquittal) {
-	c.callSiblings(acquittal.Service, methodInnocent, acquittal)
+func (c *peerClient) ReportInnocent(_ context.Context, cleared quarantiner.ClearedSuspect) {
+	c.callSiblings(cleared.Service, methodInnocent, cleared)
 }
 
 // TellLoad implements executor.Links.
@@ -159,7 +159,7 @@
 		n.quarantiner.Report(p)
 		return emptyMessage{}, nil
 	})
-	addHandler(m, methodInnocent, func(_ context.Context, p quarantiner.Acquittal) (emptyMessage, error) {
+	addHandler(m, methodInnocent, func(_ context.Context, p quarantiner.ClearedSuspect) (emptyMessage, error) {
 		n.log.Info("A suspect request ran without a crash.", "fingerprint", p.Fingerprint, "service", p.Service)
 		n.quarantiner.Clear(p.Fingerprint)
 		return emptyMessage{}, nil
--- a/internal/relayer/virtual_test.go
+++ b/internal/relayer/virtual_test.go
@@ -183,7 +183,7 @@
 func (v *virtualNode) ReportCrash(context.Context, quarantiner.Crash) {}
 
 // ReportInnocent implements executor.Links.
-func (v *virtualNode) ReportInnocent(context.Context, quarantiner.Acquittal) {}
+func (v *virtualNode) ReportInnocent(context.Context, quarantiner.ClearedSuspect) {}
 
 // TellLoad implements executor.Links.
 func (v *virtualNode) TellLoad(entries []string, load carrier.Load) {
