--- a/internal/carrier/attempt.go
+++ b/internal/carrier/attempt.go
@@ -59,8 +59,8 @@
 	Depth int `cbor:"4,keyasint,omitempty"`
 	// Grant identifies the slot that the receiver has reserved for the attempt; zero for none.
 	Grant uint64 `cbor:"5,keyasint,omitempty"`
-	// HandedOn is true if another node of the service could not start the attempt at once, and for hedges.
-	HandedOn   bool `cbor:"6,keyasint,omitempty"`
+	// HandedOff is true if another node of the service could not start the attempt at once, and for hedges.
+	HandedOff  bool `cbor:"6,keyasint,omitempty"`
 	Idempotent bool `cbor:"7,keyasint,omitempty"`
 	// Incarnation is the incarnation of the receiver that the attempt is sent to.
 	Incarnation uint64 `cbor:"8,keyasint,omitempty"`
@@ -71,20 +71,20 @@
 	// can start it at once on an upstream that has its usual speed.
 	Optional bool   `cbor:"11,keyasint,omitempty"`
 	Rank     string `cbor:"12,keyasint,omitempty"`
-	// Relaxed is true if the response will be in time even if the upstream is slow for a short period.
-	Relaxed bool `cbor:"13,keyasint,omitempty"`
-	// Request is the request id that the caller set, or empty.
-	Request string `cbor:"14,keyasint,omitempty"`
+	// ToleratesSlow is true if the response will be in time even if the upstream is slow for a short period.
+	ToleratesSlow bool `cbor:"13,keyasint,omitempty"`
+	// RequestID is the request id that the caller set, or empty.
+	RequestID string `cbor:"14,keyasint,omitempty"`
 	// Sender and Sequence identify the attempt.
 	Sender   string `cbor:"15,keyasint,omitempty"`
 	Sequence uint64 `cbor:"16,keyasint,omitempty"`
 	Service  string `cbor:"17,keyasint,omitempty"`
 	// Timeout is the time from the sending of the attempt until its deadline.
 	Timeout time.Duration `cbor:"18,keyasint,omitempty"`
-	// Useful is how long the attempt can wait to start and still be answered in time; zero if the route sets no
+	// UsefulWait is how long the attempt can wait to start and still be answered in time; zero if the route sets no
 	// target latency.
-	Useful time.Duration `cbor:"19,keyasint,omitempty"`
-	Try    Try           `cbor:"20,keyasint,omitempty"`
+	UsefulWait time.Duration `cbor:"19,keyasint,omitempty"`
+	Try        Try           `cbor:"20,keyasint,omitempty"`
 }
 
 // Try is the kind of an attempt: whether its arrival at an upstream is the first of its request.
@@ -96,13 +96,13 @@
 	TryFirst Try = iota
 	// TryRetry is an attempt of a request that an upstream may have received before.
 	TryRetry
-	// TryBelowFurther is an attempt of a call that an upstream makes while it runs a retry.
-	TryBelowFurther
+	// TryBelowRetry is an attempt of a call that an upstream makes while it runs a retry.
+	TryBelowRetry
 )
 
 // Tries returns all values of Try in order.
 func Tries() []Try {
-	return []Try{TryFirst, TryRetry, TryBelowFurther}
+	return []Try{TryFirst, TryRetry, TryBelowRetry}
 }
 
 // String returns the name of the value as used in logs and metrics.
@@ -110,7 +110,7 @@
 	switch t {
 	case TryRetry:
 		return "further"
-	case TryBelowFurther:
+	case TryBelowRetry:
 		return "below-further"
 	default:
 		return "first"
@@ -128,9 +128,9 @@
 
 // Load is the report on its upstream's load that a node sends with each outcome.
 type Load struct {
-	// Best is the fraction of its slots at which the upstream has the highest throughput; zero if its node has
-	// not learned that yet.
-	Best float64 `json:"best,omitempty"`
+	// BestSlotFraction is the fraction of its slots at which the upstream has the highest throughput; zero if its
+	// node has not learned that yet.
+	BestSlotFraction float64 `json:"best,omitempty"`
 	// Slowdown is the ratio of the upstream's current to its usual service time; zero if unknown.
 	Slowdown float64 `json:"slowdown,omitempty"`
 	// Latency is the mean service time of recent requests.
@@ -167,9 +167,9 @@
 	return nil
 }
 
-// Open verifies the signature of a request from a peer, removes the attempt's headers from it and returns the
+// ReadAttempt verifies the signature of a request from a peer, removes the attempt's headers from it and returns the
 // attempt. The error wraps ErrUnsigned, except for an attempt that is signed but not valid base64.
-func Open(key *signer.Signer, req *fasthttp.Request) (*Attempt, error) {
+func ReadAttempt(key *signer.Signer, req *fasthttp.Request) (*Attempt, error) {
 	encoded := req.Header.Peek(headerAttempt)
 	signature := string(req.Header.Peek(headerSignature))
 	if !key.VerifyHex(signature, purposeAttempt, encoded, req.Header.Method(), req.Header.RequestURI(), bodyHash(req)) {
@@ -196,9 +196,9 @@
 	Detail     string         `json:"detail,omitempty"`
 }
 
-// Seal writes the outcome of the attempt into the headers of resp, for the peer that sent the attempt. If the outcome
-// is a refusal, it replaces the response.
-func Seal(a *Attempt, resp *fasthttp.Response, outcome Outcome) {
+// WriteOutcome writes the outcome of the attempt into the headers of resp, for the peer that sent the attempt. If the
+// outcome is a refusal, it replaces the response.
+func WriteOutcome(a *Attempt, resp *fasthttp.Response, outcome Outcome) {
 	if outcome.Refusal != nil {
 		resp.Reset()
 		resp.SetStatusCode(outcome.Refusal.Status())
@@ -209,13 +209,13 @@
 	if outcome.Arrived {
 		resp.Header.Set(headerArrived, "1")
 	}
-	if outcome.Spent {
+	if outcome.RetrySpent {
 		resp.Header.Set(headerSpent, "1")
 	}
 	resp.Header.Set(headerEcho, a.echoValue())
-	resp.Header.Set(headerUsed, strconv.FormatInt(int64(outcome.Used), 10))
+	resp.Header.Set(headerUsed, strconv.FormatInt(int64(outcome.UpstreamTime), 10))
 	load := outcome.Load
-	resp.Header.Set(headerLoad, fmt.Sprintf("%d %d %d %d %.2f %.2f", load.Running, load.Queued, load.Slots, load.Latency, load.Slowdown, load.Best))
+	resp.Header.Set(headerLoad, fmt.Sprintf("%d %d %d %d %.2f %.2f", load.Running, load.Queued, load.Slots, load.Latency, load.Slowdown, load.BestSlotFraction))
 }
 
 // Outcome is how an attempt ended.
@@ -227,11 +227,11 @@
 	Lost bool
 	// Refusal is nil if the upstream has responded.
 	Refusal *refuser.Refusal
-	// Spent is true if a call nested in this one has failed after its own retries, so that this one must not be
-	// retried as well.
-	Spent bool
-	// Used is the time spent at the upstream.
-	Used time.Duration
+	// RetrySpent is true if a call nested in this one has failed after its own retries, so that this one must not
+	// be retried as well.
+	RetrySpent bool
+	// UpstreamTime is the time spent at the upstream.
+	UpstreamTime time.Duration
 }
 
 // Reached reports whether an upstream received the request or may have.
@@ -257,9 +257,9 @@
 	}
 	outcome := Outcome{Load: parseLoad(string(resp.Header.Peek(headerLoad)))}
 	used, _ := strconv.ParseInt(string(resp.Header.Peek(headerUsed)), 10, 64)
-	outcome.Used = time.Duration(used)
+	outcome.UpstreamTime = time.Duration(used)
 	outcome.Arrived = len(resp.Header.Peek(headerArrived)) > 0
-	outcome.Spent = len(resp.Header.Peek(headerSpent)) > 0
+	outcome.RetrySpent = len(resp.Header.Peek(headerSpent)) > 0
 	if refusal := resp.Header.Peek(headerRefusal); len(refusal) > 0 {
 		var wire wireRefusal
 		if err := json.Unmarshal(refusal, &wire); err != nil {
@@ -278,7 +278,7 @@
 func parseLoad(text string) Load {
 	var load Load
 	var latency int64
-	if _, err := fmt.Sscan(text, &load.Running, &load.Queued, &load.Slots, &latency, &load.Slowdown, &load.Best); err != nil {
+	if _, err := fmt.Sscan(text, &load.Running, &load.Queued, &load.Slots, &latency, &load.Slowdown, &load.BestSlotFraction); err != nil {
 		return Load{}
 	}
 	load.Latency = time.Duration(latency)
--- a/internal/carrier/carrier.go
+++ b/internal/carrier/carrier.go
@@ -79,8 +79,8 @@
 	}
 }
 
-// Name sets the attempt's sender and its next sequence number.
-func (c *Carrier) Name(a *Attempt) {
+// AssignID sets the attempt's sender and its next sequence number.
+func (c *Carrier) AssignID(a *Attempt) {
 	a.Sender = c.sender
 	a.Sequence = c.sequence.Add(1)
 }
@@ -101,7 +101,7 @@
 // attempt is sent once. If the connection is lost, the outcome of an attempt that is not idempotent is queried on a
 // new connection, so that a refusal with not-run "true" is certain.
 func (c *Carrier) Send(ctx context.Context, to gossiper.Member, a Attempt, req *fasthttp.Request, resp *fasthttp.Response, deadline time.Time) Outcome {
-	c.Name(&a)
+	c.AssignID(&a)
 	a.Incarnation = to.Incarnation
 	started := c.clock.Now()
 	a.Timeout = deadline.Sub(started)
@@ -284,12 +284,12 @@
 	if state != recorder.StateDone {
 		return state, Outcome{}, nil
 	}
-	packed := bytes.Clone(resp.Body())
-	if len(packed) == 0 {
+	encoded := bytes.Clone(resp.Body())
+	if len(encoded) == 0 {
 		return state, unknownOutcome(a, "the request has run; its answer is no longer kept"), nil
 	}
 	resp.Reset()
-	if err := resp.Read(bufio.NewReader(bytes.NewReader(packed))); err != nil {
+	if err := resp.Read(bufio.NewReader(bytes.NewReader(encoded))); err != nil {
 		return state, unknownOutcome(a, "the request has run; its answer can't be read"), nil
 	}
 	outcome, ok := readOutcome(a, resp)
@@ -299,17 +299,17 @@
 	return state, outcome, nil
 }
 
-// Pack returns a response written by Seal as bytes, to be kept by a recorder.
-func Pack(resp *fasthttp.Response) []byte {
-	var packed bytes.Buffer
+// EncodeResponse returns a response written by WriteOutcome as bytes, to be kept by a recorder.
+func EncodeResponse(resp *fasthttp.Response) []byte {
+	var encoded bytes.Buffer
 	// Writes to a bytes.Buffer do not fail.
-	_, _ = resp.WriteTo(&packed)
-	return packed.Bytes()
+	_, _ = resp.WriteTo(&encoded)
+	return encoded.Bytes()
 }
 
 // Resolver looks up the attempts that a node has received.
 type Resolver interface {
-	// Resolve returns the state of the attempt and, if it is done, its packed response, or nothing if that is no
+	// Resolve returns the state of the attempt and, if it is done, its encoded response, or nothing if that is no
 	// longer kept. If the attempt is running, done is closed when it ends. An attempt that was never received
 	// becomes barred: it is refused if it arrives later.
 	Resolve(id recorder.ID) (state recorder.State, answer []byte, done <-chan struct{})
--- a/internal/carrier/context.go
+++ b/internal/carrier/context.go
@@ -30,8 +30,8 @@
 	Rank      string    `json:"rank"`
 }
 
-// Stamp writes the signed context of the attempt's call into the headers of a request to the upstream.
-func Stamp(key *signer.Signer, a *Attempt, req *fasthttp.Request, deadline time.Time) {
+// WriteContext writes the signed context of the attempt's call into the headers of a request to the upstream.
+func WriteContext(key *signer.Signer, a *Attempt, req *fasthttp.Request, deadline time.Time) {
 	rootCall := a.RootCall
 	if rootCall == "" {
 		rootCall = a.Call
@@ -50,9 +50,9 @@
 	req.Header.Set(HeaderContext, text+"."+key.Hex(purposeContext, []byte(text)))
 }
 
-// OpenContext returns the context in the request's headers. It reports false if the context is missing, has no valid
+// ReadContext returns the context in the request's headers. It reports false if the context is missing, has no valid
 // signature or can't be decoded.
-func OpenContext(key *signer.Signer, req *fasthttp.Request) (Context, bool) {
+func ReadContext(key *signer.Signer, req *fasthttp.Request) (Context, bool) {
 	header := string(req.Header.Peek(HeaderContext))
 	text, signature, found := strings.Cut(header, ".")
 	if !found || !key.VerifyHex(signature, purposeContext, []byte(text)) {
--- a/internal/claimer/claimer.go
+++ b/internal/claimer/claimer.go
@@ -219,7 +219,7 @@
 	}
 	settlement := Settlement{Claim: claim, State: StateUnknown}
 	if refusal == nil {
-		if encoded := carrier.Pack(resp); len(encoded) <= maxAnswerBytes {
+		if encoded := carrier.EncodeResponse(resp); len(encoded) <= maxAnswerBytes {
 			settlement.State = StateAnswered
 			settlement.Answer = encoded
 		}
--- a/internal/dispatcher/attempts.go
+++ b/internal/dispatcher/attempts.go
@@ -238,24 +238,24 @@
 	return d.newAttempt(call, call.tryFor(j.Arrivals), optional, j.HandBacks > 0)
 }
 
-func (d *Dispatcher) newAttempt(call *Call, try carrier.Try, optional, handedOn bool) carrier.Attempt {
+func (d *Dispatcher) newAttempt(call *Call, try carrier.Try, optional, handedOff bool) carrier.Attempt {
 	return carrier.Attempt{
-		Age:        d.Clock.Now().Sub(call.Started),
-		Call:       call.ID,
-		Caller:     call.Caller,
-		RootCall:   call.RootCall,
-		Depth:      call.Depth,
-		HandedOn:   handedOn,
-		Idempotent: call.Idempotent,
-		Key:        call.Key,
-		Neighbour:  call.Neighbour,
-		Optional:   optional,
-		Rank:       call.Rank,
-		Relaxed:    d.need(call).Relaxed,
-		Request:    call.Request,
-		Service:    call.Service,
-		Try:        try,
-		Useful:     d.usefulWait(call),
+		Age:           d.Clock.Now().Sub(call.Started),
+		Call:          call.ID,
+		Caller:        call.Caller,
+		RootCall:      call.RootCall,
+		Depth:         call.Depth,
+		HandedOff:     handedOff,
+		Idempotent:    call.Idempotent,
+		Key:           call.Key,
+		Neighbour:     call.Neighbour,
+		Optional:      optional,
+		Rank:          call.Rank,
+		ToleratesSlow: d.need(call).Relaxed,
+		RequestID:     call.Request,
+		Service:       call.Service,
+		Try:           try,
+		UsefulWait:    d.usefulWait(call),
 	}
 }
 
@@ -263,7 +263,7 @@
 func (c *Call) tryFor(arrivals int) carrier.Try {
 	switch {
 	case c.BelowRetry:
-		return carrier.TryBelowFurther
+		return carrier.TryBelowRetry
 	case arrivals > 0:
 		return carrier.TryRetry
 	default:
@@ -350,7 +350,7 @@
 func (d *Dispatcher) admitRetry(call *Call, j *Journey, outcome *carrier.Outcome) bool {
 	var reason meter.RetryRefusal
 	switch {
-	case outcome.Spent:
+	case outcome.RetrySpent:
 		reason = meter.RetryRefusalNested
 	case j.Tries >= maxTries || j.Runs >= call.Attempts:
 		reason = meter.RetryRefusalTries
@@ -380,8 +380,8 @@
 	if outcome.Refusal == nil {
 		total := d.Clock.Now().Sub(call.Started)
 		if !failed {
-			d.latencies.forCall(call).observe(total, outcome.Used)
+			d.latencies.forCall(call).observe(total, outcome.UpstreamTime)
 		}
-		d.Meter.Answered(call.Service, call.Rank, total, total-outcome.Used)
+		d.Meter.Answered(call.Service, call.Rank, total, total-outcome.UpstreamTime)
 	}
 }
--- a/internal/dispatcher/dispatcher_test.go
+++ b/internal/dispatcher/dispatcher_test.go
@@ -29,12 +29,12 @@
 // level is one node in a chain of nested calls: its upstream calls the next level through it.
 type level struct {
 	*Dispatcher
-	key    *signer.Signer
-	mu     sync.Mutex
-	next   *level
-	spent  map[string]bool
-	tries  int
-	answer func() carrier.Outcome
+	key        *signer.Signer
+	mu         sync.Mutex
+	next       *level
+	retrySpent map[string]bool
+	tries      int
+	answer     func() carrier.Outcome
 }
 
 // Learn implements Targets.
@@ -66,14 +66,14 @@
 		return l.awaitAnswer(ctx)
 	}
 	nestedReq, nestedResp := newRequest(), &fasthttp.Response{}
-	carrier.Stamp(l.key, &a, nestedReq, deadline)
+	carrier.WriteContext(l.key, &a, nestedReq, deadline)
 	if refusal := l.next.Dispatch(context.Background(), nestedReq, nestedResp); refusal != nil {
 		nestedResp.SetStatusCode(fasthttp.StatusBadGateway)
 	}
 	resp.SetStatusCode(nestedResp.StatusCode())
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return carrier.Outcome{Spent: l.spent[a.Call]}
+	return carrier.Outcome{RetrySpent: l.retrySpent[a.Call]}
 }
 
 // awaitAnswer returns the answer, or a cancelled outcome if the attempt is cancelled first.
@@ -115,7 +115,7 @@
 	}
 	var chain []*level
 	for i := range depth {
-		l := &level{answer: answer, key: key, spent: make(map[string]bool)}
+		l := &level{answer: answer, key: key, retrySpent: make(map[string]bool)}
 		// A failed nested call is reported to the node of the calling upstream, one level above.
 		parent := l
 		if i > 0 {
@@ -127,12 +127,12 @@
 			FailedBelow: func(call string) {
 				parent.mu.Lock()
 				defer parent.mu.Unlock()
-				parent.spent[call] = true
+				parent.retrySpent[call] = true
 			},
 			Interpreter: interpreter.Native{},
 			Meter:       meter.New(),
 			Name:        fmt.Sprintf("n%d", i),
-			OpenContext: func(req *fasthttp.Request) (carrier.Context, bool) { return carrier.OpenContext(key, req) },
+			OpenContext: func(req *fasthttp.Request) (carrier.Context, bool) { return carrier.ReadContext(key, req) },
 			Retries:     budgeter.NewRetries(func(string) float64 { return retryRatio }),
 			Runs:        l,
 			Sender:      l,
--- a/internal/dispatcher/hedge.go
+++ b/internal/dispatcher/hedge.go
@@ -125,7 +125,7 @@
 		return
 	}
 	for _, h := range d.hedges.forTarget(target) {
-		// A relaxed call has time to wait until the upstream is fast again; its timer still starts a hedge.
+		// A call that tolerates a slow upstream can wait until it recovers; its timer still starts a hedge.
 		if !d.need(h.call).Relaxed {
 			go d.runHedge(h, meter.RetrySlow)
 		}
--- a/internal/executor/executor.go
+++ b/internal/executor/executor.go
@@ -102,10 +102,10 @@
 // usefulUntil returns the latest start time at which the answer still comes in time, for an attempt that
 // arrived at the given time; zero where it is not known.
 func (x *Execution) usefulUntil(arrived time.Time) time.Time {
-	if x.Attempt.Useful == 0 {
+	if x.Attempt.UsefulWait == 0 {
 		return time.Time{}
 	}
-	return arrived.Add(x.Attempt.Useful)
+	return arrived.Add(x.Attempt.UsefulWait)
 }
 
 // Config holds the dependencies of an Executor.
@@ -299,12 +299,12 @@
 
 func (e *Executor) currentLoad() carrier.Load {
 	return carrier.Load{
-		Best:     e.limit.BestFraction(),
-		Latency:  e.limit.Latency(),
-		Queued:   e.schedule.Queued(),
-		Running:  e.schedule.Running(),
-		Slots:    e.schedule.Slots(),
-		Slowdown: e.load.slowdown,
+		BestSlotFraction: e.limit.BestFraction(),
+		Latency:          e.limit.Latency(),
+		Queued:           e.schedule.Queued(),
+		Running:          e.schedule.Running(),
+		Slots:            e.schedule.Slots(),
+		Slowdown:         e.load.slowdown,
 	}
 }
 
@@ -328,7 +328,7 @@
 	e.mu.Lock()
 	outcome.Load = e.currentLoad()
 	if _, ok := e.retrySpent[x.Attempt.Call]; ok {
-		outcome.Spent = true
+		outcome.RetrySpent = true
 	}
 	e.mu.Unlock()
 	e.recordOutcome(id, x, outcome)
@@ -369,11 +369,11 @@
 		e.Recorder.Forget(id)
 		return
 	}
-	sealed := fasthttp.AcquireResponse()
-	defer fasthttp.ReleaseResponse(sealed)
-	x.Response.CopyTo(sealed)
-	carrier.Seal(&x.Attempt, sealed, outcome)
-	e.Recorder.Finish(id, carrier.Pack(sealed))
+	stored := fasthttp.AcquireResponse()
+	defer fasthttp.ReleaseResponse(stored)
+	x.Response.CopyTo(stored)
+	carrier.WriteOutcome(&x.Attempt, stored, outcome)
+	e.Recorder.Finish(id, carrier.EncodeResponse(stored))
 }
 
 func (e *Executor) refusedOutcome(refusal *refuser.Refusal) carrier.Outcome {
@@ -440,7 +440,7 @@
 	w := scheduler.NewWaiter(now, e.class(x), x.Deadline)
 	w.UsefulUntil = x.usefulUntil(now)
 	e.mu.Lock()
-	if x.Attempt.Optional && !e.canStartPromptly(x.Attempt.Relaxed) {
+	if x.Attempt.Optional && !e.canStartPromptly(x.Attempt.ToleratesSlow) {
 		e.mu.Unlock()
 		e.Meter.Event("handed_back")
 		return carrier.Outcome{Refusal: refuser.Later(refuser.ReasonBusy, sweepInterval, "the upstream is full or slow and the sender has another")}
@@ -452,7 +452,7 @@
 	if hasSlot {
 		return e.run(ctx, x, w)
 	}
-	if !x.Attempt.HandedOn && !overloaded {
+	if !x.Attempt.HandedOff && !overloaded {
 		if outcome, ok := e.handOff(ctx, x); ok {
 			return outcome
 		}
@@ -469,7 +469,7 @@
 	}
 	e.Meter.Event("hand_ons")
 	a := x.Attempt
-	a.HandedOn = true
+	a.HandedOff = true
 	outcome := e.Sender.Send(ctx, sibling, a, x.Request, x.Response, x.Deadline)
 	if !outcome.IsNotRun() || outcome.Reached() {
 		return outcome, true
--- a/internal/executor/load.go
+++ b/internal/executor/load.go
@@ -41,7 +41,7 @@
 // SiblingSeen adopts the best number of slots that the node of another upstream of the same service has
 // learned. Loads without one and loads of other services are ignored.
 func (e *Executor) SiblingSeen(service string, load carrier.Load) {
-	if load.Best == 0 {
+	if load.BestSlotFraction == 0 {
 		return
 	}
 	e.mu.Lock()
@@ -49,7 +49,7 @@
 	if service != e.announcement.Service {
 		return
 	}
-	e.limit.Adopt(e.Clock.Now(), load.Best)
+	e.limit.Adopt(e.Clock.Now(), load.BestSlotFraction)
 	e.applyLimit()
 }
 
@@ -61,13 +61,13 @@
 	return e.Clock.Now().Sub(e.load.receivedAt), len(e.inFlight) > 0, !e.load.receivedAt.IsZero()
 }
 
-// canStartPromptly reports whether a request could start at once and, unless it is relaxed, at an upstream
-// that is not slow. It is called with mu held.
-func (e *Executor) canStartPromptly(relaxed bool) bool {
+// canStartPromptly reports whether a request could start at once and, unless it tolerates a slow upstream, at
+// one that is not slow. It is called with mu held.
+func (e *Executor) canStartPromptly(toleratesSlow bool) bool {
 	if e.schedule.Queued() > 0 || e.schedule.Running() >= e.schedule.Slots() {
 		return false
 	}
-	return relaxed || !e.isSlow()
+	return toleratesSlow || !e.isSlow()
 }
 
 // isSlow reports whether a current load report says that the upstream is slow. It is called with mu held.
--- a/internal/executor/repeat.go
+++ b/internal/executor/repeat.go
@@ -18,7 +18,7 @@
 
 // repeatFraction returns the fraction of the repeat budget that is open to an attempt.
 func repeatFraction(try carrier.Try) float64 {
-	if try == carrier.TryBelowFurther {
+	if try == carrier.TryBelowRetry {
 		return nestedRepeatFraction
 	}
 	return 1
--- a/internal/executor/run.go
+++ b/internal/executor/run.go
@@ -55,8 +55,8 @@
 	e.Stamp(&x.Attempt, out, atStart.instance, x.Deadline)
 	started := e.Clock.Now()
 	err := e.Upstream.Do(ctx, out, x.Response, x.Deadline)
-	used := e.Clock.Now().Sub(started)
-	outcome := carrier.Outcome{Arrived: !errors.Is(err, forwarder.ErrNotSent), Used: used}
+	upstreamTime := e.Clock.Now().Sub(started)
+	outcome := carrier.Outcome{Arrived: !errors.Is(err, forwarder.ErrNotSent), UpstreamTime: upstreamTime}
 	if outcome.Arrived {
 		e.Meter.Arrived(x.Attempt.Service, x.Attempt.Try.String())
 	} else {
@@ -71,7 +71,7 @@
 		e.clearSuspicion(x)
 	}
 	e.finishRun(x, w, limiter.Sample{
-		Class: x.Attempt.Rank, Latency: used, Result: e.classifyResult(x.Response, err), Running: atStart.running,
+		Class: x.Attempt.Rank, Latency: upstreamTime, Result: e.classifyResult(x.Response, err), Running: atStart.running,
 		Steady: err == nil && atStart.steady,
 	})
 	return outcome
@@ -251,7 +251,7 @@
 	defer e.mu.Unlock()
 	for x := range e.inFlight {
 		a := &x.Attempt
-		if (call != "" && a.Call == call) || (request != "" && a.Request == request) {
+		if (call != "" && a.Call == call) || (request != "" && a.RequestID == request) {
 			return *a, true
 		}
 	}
--- a/internal/executor/slow_test.go
+++ b/internal/executor/slow_test.go
@@ -29,13 +29,13 @@
 }
 
 // TestOptionalAttemptsAreHandedBack sends attempts to an upstream that is slow, and then full. Attempts that
-// can go to another node must be refused at once; others, and relaxed ones at a slow upstream, must run.
+// can go to another node must be refused at once; others, and at a slow upstream those that tolerate it, must run.
 func TestOptionalAttemptsAreHandedBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := newGroup(t, 1, true, 1, 1e9, testDocument(time.Second)).members[0]
 		optional := func(a *carrier.Attempt) { a.Optional = true }
 		mandatory := func(*carrier.Attempt) {}
-		relaxed := func(a *carrier.Attempt) { a.Optional, a.Relaxed = true, true }
+		toleratesSlow := func(a *carrier.Attempt) { a.Optional, a.ToleratesSlow = true, true }
 		m.Report(interpreter.Load{Slots: testSlots, Slowdown: 1})
 		if got := reasonOf(m.sendAttempt("well", optional)); got != "" {
 			t.Errorf("usual speed: refused as %s", got)
@@ -48,7 +48,7 @@
 			t.Errorf("slow, no other node: refused as %s", got)
 		}
 		m.Report(interpreter.Load{Slots: testSlots, Slowdown: 7})
-		if got := reasonOf(m.sendAttempt("relaxed", relaxed)); got != "" {
+		if got := reasonOf(m.sendAttempt("relaxed", toleratesSlow)); got != "" {
 			t.Errorf("slow, time to spare: refused as %s", got)
 		}
 		time.Sleep(loadReportTTL)
@@ -120,7 +120,7 @@
 			sent++
 			go func() {
 				started := time.Now()
-				outcome := m.sendAttempt("burst", func(a *carrier.Attempt) { a.Useful = targetLatency - serviceTime })
+				outcome := m.sendAttempt("burst", func(a *carrier.Attempt) { a.UsefulWait = targetLatency - serviceTime })
 				results <- result{outcome.Refusal != nil, time.Since(started)}
 			}()
 			time.Sleep(time.Second / 480)
--- a/internal/executor/wait.go
+++ b/internal/executor/wait.go
@@ -85,7 +85,7 @@
 		return carrier.Outcome{}, false
 	}
 	a := x.Attempt
-	a.HandedOn = true
+	a.HandedOff = true
 	a.Grant = binding.Grant
 	outcome := e.Sender.Send(ctx, to, a, x.Request, x.Response, x.Deadline)
 	if !outcome.IsNotRun() || outcome.Reached() {
--- a/internal/relayer/attemptsender.go
+++ b/internal/relayer/attemptsender.go
@@ -23,6 +23,6 @@
 	if to.Name != s.self {
 		return s.carrier.Send(ctx, to, a, req, resp, deadline)
 	}
-	s.carrier.Name(&a)
+	s.carrier.AssignID(&a)
 	return s.executor.Execute(ctx, &executor.Execution{Attempt: a, Deadline: deadline, Request: req, Response: resp})
 }
--- a/internal/relayer/eventlog.go
+++ b/internal/relayer/eventlog.go
@@ -182,13 +182,13 @@
 // its request is not traced.
 func (n *Node) attemptFinished(x *executor.Execution, outcome *carrier.Outcome, seen executor.Seen) {
 	routine := isRoutine(outcome)
-	if routine && !isTraced(x.Attempt.Request) {
+	if routine && !isTraced(x.Attempt.RequestID) {
 		return
 	}
 	fields := []any{
-		"request", x.Attempt.Request, "call", x.Attempt.Call, "try", x.Attempt.Try, "sender", x.Attempt.Sender, "sequence", x.Attempt.Sequence,
+		"request", x.Attempt.RequestID, "call", x.Attempt.Call, "try", x.Attempt.Try, "sender", x.Attempt.Sender, "sequence", x.Attempt.Sequence,
 		"instance", seen.Instance, "running", seen.Running, "queued", seen.Queued, "slowdown", seen.Slowdown,
-		"load-age", seen.LoadAge, "took", seen.Took, "used", outcome.Used, "optional", x.Attempt.Optional,
+		"load-age", seen.LoadAge, "took", seen.Took, "used", outcome.UpstreamTime, "optional", x.Attempt.Optional,
 		"arrived", outcome.Arrived,
 	}
 	if refusal := outcome.Refusal; refusal != nil {
--- a/internal/relayer/node.go
+++ b/internal/relayer/node.go
@@ -229,7 +229,7 @@
 		Sender:      n.carrier,
 		Siblings:    &siblingDirectory{Router: n.router, gossiper: n.gossiper},
 		Stamp: func(a *carrier.Attempt, req *fasthttp.Request, instance string, deadline time.Time) {
-			carrier.Stamp(n.secrets.Key, a, req, deadline)
+			carrier.WriteContext(n.secrets.Key, a, req, deadline)
 			n.interpreter.WriteHop(&req.Header, interpreter.Hop{
 				Caller: a.Caller, Instance: instance, Timeout: deadline.Sub(n.clock.Now()),
 			})
@@ -248,7 +248,7 @@
 		Meter:       n.meter,
 		Name:        sender,
 		OpenContext: func(req *fasthttp.Request) (carrier.Context, bool) {
-			return carrier.OpenContext(n.secrets.Key, req)
+			return carrier.ReadContext(n.secrets.Key, req)
 		},
 		Runs:    n.executor,
 		Retries: budgeter.NewRetries(n.retryRatio),
@@ -274,7 +274,7 @@
 // reportSiblingLoad passes the load that another node reports to the executor, if that node has learned with which
 // part of its slots the upstream gets most done.
 func (n *Node) reportSiblingLoad(name string, load carrier.Load) {
-	if load.Best == 0 || name == n.settings.Name {
+	if load.BestSlotFraction == 0 || name == n.settings.Name {
 		return
 	}
 	if m, ok := n.gossiper.Member(name); ok {
--- a/internal/relayer/peerclient.go
+++ b/internal/relayer/peerclient.go
@@ -64,7 +64,7 @@
 func (c *peerClient) TellLoad(entries []string, load carrier.Load) {
 	c.sendLoad(entries, gossiper.Load{
 		Queued: load.Queued, Running: load.Running, Slots: load.Slots, SlowdownPercent: int(100 * load.Slowdown),
-		BestSlotsPercent: int(math.Round(100 * load.Best)),
+		BestSlotsPercent: int(math.Round(100 * load.BestSlotFraction)),
 	})
 }
 
@@ -80,7 +80,7 @@
 func loadFromGossip(load gossiper.Load) carrier.Load {
 	return carrier.Load{
 		Queued: load.Queued, Running: load.Running, Slots: load.Slots, Slowdown: float64(load.SlowdownPercent) / 100,
-		Best: float64(load.BestSlotsPercent) / 100,
+		BestSlotFraction: float64(load.BestSlotsPercent) / 100,
 	}
 }
 
--- a/internal/relayer/repeatbudget_test.go
+++ b/internal/relayer/repeatbudget_test.go
@@ -111,7 +111,7 @@
 	}
 	// The HTTP library's clock starts with the first answer that is written and never stops, so this starts
 	// it outside the synctest bubble.
-	carrier.Pack(&fasthttp.Response{})
+	carrier.EncodeResponse(&fasthttp.Response{})
 	synctest.Test(t, func(t *testing.T) {
 		r.virtualDeployment = newVirtualDeployment(t)
 		r.random = &lockedRand{random: rand.New(rand.NewPCG(r.scenario.Seed, 0))}
--- a/internal/relayer/serve.go
+++ b/internal/relayer/serve.go
@@ -28,14 +28,14 @@
 		carrier.ServeResolve(n.secrets.Key, n.clock, n.isOwnIncarnation, n.recorder, req, resp)
 		return
 	}
-	attempt, err := carrier.Open(n.secrets.Key, req)
+	attempt, err := carrier.ReadAttempt(n.secrets.Key, req)
 	if err != nil {
 		n.meter.Event("unsigned_attempts")
 		refuser.New(refuser.ReasonUnauthorized, err.Error()).Write(resp)
 		return
 	}
 	outcome := n.executeAttempt(ctx, attempt, req, resp)
-	carrier.Seal(attempt, resp, outcome)
+	carrier.WriteOutcome(attempt, resp, outcome)
 }
 
 // isOwnIncarnation reports whether an incarnation is the one of the node's start or its current one in gossip.
--- a/internal/relayer/virtual_test.go
+++ b/internal/relayer/virtual_test.go
@@ -151,7 +151,7 @@
 
 // Send implements dispatcher.Sender and executor.Sender.
 func (v *virtualNode) Send(ctx context.Context, to gossiper.Member, a carrier.Attempt, req *fasthttp.Request, resp *fasthttp.Response, deadline time.Time) carrier.Outcome {
-	v.carrier.Name(&a)
+	v.carrier.AssignID(&a)
 	target := v.deployment.member(to.Name)
 	if target != v {
 		time.Sleep(virtualLatency)
