--- a/internal/dispatcher/attempts.go
+++ b/internal/dispatcher/attempts.go
@@ -150,7 +150,7 @@
 func (d *Dispatcher) need(call *Call) router.Need {
 	serviceTime := d.latencies.forCall(call).serviceTime.Value()
 	slack := call.TargetLatency - d.Clock.Now().Sub(call.Started) - serviceTime
-	return router.Need{Relaxed: serviceTime > 0 && slack > maxSlowPeriod, Service: call.Service, TargetLatency: call.TargetLatency}
+	return router.Need{ToleratesSlow: serviceTime > 0 && slack > maxSlowPeriod, Service: call.Service, TargetLatency: call.TargetLatency}
 }
 
 // lateWaitFactor limits the wait of a call whose caller has no time to retry, in target latencies. A later
@@ -251,7 +251,7 @@
 		Neighbour:     call.Neighbour,
 		Optional:      optional,
 		Rank:          call.Rank,
-		ToleratesSlow: d.need(call).Relaxed,
+		ToleratesSlow: d.need(call).ToleratesSlow,
 		RequestID:     call.Request,
 		Service:       call.Service,
 		Try:           try,
@@ -274,9 +274,9 @@
 // sendAttempt sends the attempt to the target and records the outcome for later picks.
 func (d *Dispatcher) sendAttempt(ctx context.Context, call *Call, target gossiper.Member, attempt carrier.Attempt, req *fasthttp.Request, resp *fasthttp.Response) carrier.Outcome {
 	resp.Reset()
-	d.Targets.Sent(target.Name)
+	d.Targets.RecordCallStart(target.Name)
 	outcome := d.Sender.Send(ctx, target, attempt, req, resp, call.Deadline)
-	d.Targets.Learn(target.Name, outcome.Load, isTargetFailure(&outcome, resp))
+	d.Targets.RecordCallEnd(target.Name, outcome.Load, isTargetFailure(&outcome, resp))
 	return outcome
 }
 
--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -43,16 +43,16 @@
 
 // Targets picks the nodes that attempts are sent to and records outcomes and load reports of these nodes.
 type Targets interface {
-	// Learn records the outcome of an attempt. failed is true if it counts against the node.
-	Learn(name string, load carrier.Load, failed bool)
+	// RecordCallEnd records the outcome of an attempt. failed is true if it counts against the node.
+	RecordCallEnd(name string, load carrier.Load, failed bool)
 	// ObserveLoad records a load report of a node. It reports whether the node's upstream has become slow.
 	ObserveLoad(name string, load carrier.Load) bool
 	// MarkOverdue records that a response of the node is overdue.
 	MarkOverdue(name string)
 	// Pick chooses a node that is not in exclude. It reports false if there is none.
 	Pick(need router.Need, exclude []string) (router.Choice, bool)
-	// Sent records that an attempt is sent to the node.
-	Sent(name string)
+	// RecordCallStart records that an attempt is sent to the node.
+	RecordCallStart(name string)
 }
 
 // Sender sends an attempt to a node, which can be this one, and returns its outcome. A response is left in resp.
--- a/internal/dispatcher/dispatcher_test.go
+++ b/internal/dispatcher/dispatcher_test.go
@@ -37,8 +37,8 @@
 	answer     func() carrier.Outcome
 }
 
-// Learn implements Targets.
-func (l *level) Learn(string, carrier.Load, bool) {}
+// RecordCallEnd implements Targets.
+func (l *level) RecordCallEnd(string, carrier.Load, bool) {}
 
 // MarkOverdue implements Targets.
 func (l *level) MarkOverdue(string) {}
@@ -54,8 +54,8 @@
 // ObserveLoad implements Targets.
 func (l *level) ObserveLoad(string, carrier.Load) bool { return false }
 
-// Sent implements Targets.
-func (l *level) Sent(string) {}
+// RecordCallStart implements Targets.
+func (l *level) RecordCallStart(string) {}
 
 // Send implements Sender. It runs the request at the upstream, which first makes a nested call.
 func (l *level) Send(ctx context.Context, _ gossiper.Member, a carrier.Attempt, _ *fasthttp.Request, resp *fasthttp.Response, deadline time.Time) carrier.Outcome {
--- a/internal/dispatcher/hedge.go
+++ b/internal/dispatcher/hedge.go
@@ -126,7 +126,7 @@
 	}
 	for _, h := range d.hedges.forTarget(target) {
 		// A call that tolerates a slow upstream can wait until it recovers; its timer still starts a hedge.
-		if !d.need(h.call).Relaxed {
+		if !d.need(h.call).ToleratesSlow {
 			go d.runHedge(h, meter.RetrySlow)
 		}
 	}
--- a/internal/executor/binding_test.go
+++ b/internal/executor/binding_test.go
@@ -81,10 +81,10 @@
 	}
 	entry := g.entries[n%len(g.entries)]
 	to, _ := entry.Pick(router.Need{Service: testService}, nil)
-	entry.Sent(to.Name)
+	entry.RecordCallStart(to.Name)
 	return g.memberByName(to.Name), func(o carrier.Outcome) {
 		failed := o.Refusal != nil && o.Refusal.Reason == refuser.ReasonUpstreamFailed
-		entry.Learn(to.Name, o.Load, failed)
+		entry.RecordCallEnd(to.Name, o.Load, failed)
 	}
 }
 
@@ -105,11 +105,11 @@
 	warmUp := length / 6
 	for n := 0; time.Since(started) < length; n++ {
 		id := fmt.Sprintf("%s%d", prefix, n)
-		target, learn := p.target(g, n)
+		target, recordEnd := p.target(g, n)
 		arrived := time.Now()
 		calls.Go(func() {
 			outcome := target.call(id, rank, "a", arrived.Add(time.Minute))
-			learn(outcome)
+			recordEnd(outcome)
 			mu.Lock()
 			defer mu.Unlock()
 			if outcome.Refusal != nil {
--- a/internal/executor/executor.go
+++ b/internal/executor/executor.go
@@ -47,12 +47,12 @@
 // Siblings selects and looks up the other nodes of a service. Nodes named in exclude are not selected;
 // the result is false where there is no such node.
 type Siblings interface {
-	// HandOn selects a node for an attempt that found no free slot here.
-	HandOn(service string, exclude []string) (gossiper.Member, bool)
+	// PickForHandOff selects a node for an attempt that found no free slot here.
+	PickForHandOff(service string, exclude []string) (gossiper.Member, bool)
 	// Member returns the node with the name.
 	Member(name string) (gossiper.Member, bool)
-	// Reservation selects a node to place a reservation with.
-	Reservation(service string, exclude []string) (gossiper.Member, bool)
+	// PickForReservation selects a node to place a reservation with.
+	PickForReservation(service string, exclude []string) (gossiper.Member, bool)
 }
 
 // Links sends the messages of late binding, crash reports and load notices to other nodes.
@@ -463,7 +463,7 @@
 // handOff sends the attempt to another node that Siblings selects. It reports false when there is none, or
 // when it has certainly not run the attempt and this node should queue it.
 func (e *Executor) handOff(ctx context.Context, x *Execution) (carrier.Outcome, bool) {
-	sibling, ok := e.Siblings.HandOn(x.Attempt.Service, []string{e.Name})
+	sibling, ok := e.Siblings.PickForHandOff(x.Attempt.Service, []string{e.Name})
 	if !ok {
 		return carrier.Outcome{}, false
 	}
--- a/internal/executor/harness_test.go
+++ b/internal/executor/harness_test.go
@@ -233,20 +233,20 @@
 	return gossiper.Member{Name: name, Service: testService, Slots: testSlots, Upstream: announcer.StateReady}
 }
 
-// HandOn implements Siblings.
-func (m *member) HandOn(service string, exclude []string) (gossiper.Member, bool) {
+// PickForHandOff implements Siblings.
+func (m *member) PickForHandOff(service string, exclude []string) (gossiper.Member, bool) {
 	if !m.group.lateBinding {
 		return gossiper.Member{}, false
 	}
-	return m.router.HandOn(service, exclude)
+	return m.router.PickForHandOff(service, exclude)
 }
 
-// Reservation implements Siblings.
-func (m *member) Reservation(service string, exclude []string) (gossiper.Member, bool) {
+// PickForReservation implements Siblings.
+func (m *member) PickForReservation(service string, exclude []string) (gossiper.Member, bool) {
 	if !m.group.lateBinding {
 		return gossiper.Member{}, false
 	}
-	return m.router.Reservation(service, exclude)
+	return m.router.PickForReservation(service, exclude)
 }
 
 // Do implements Upstream.
--- a/internal/executor/wait.go
+++ b/internal/executor/wait.go
@@ -106,7 +106,7 @@
 // placeReservation places one reservation with a sibling if the byte budget allows it. It does not wait for
 // the message.
 func (e *Executor) placeReservation(x *Execution) {
-	sibling, ok := e.Siblings.Reservation(x.Attempt.Service, []string{e.Name})
+	sibling, ok := e.Siblings.PickForReservation(x.Attempt.Service, []string{e.Name})
 	if !ok {
 		return
 	}
--- a/internal/relayer/node.go
+++ b/internal/relayer/node.go
@@ -265,9 +265,9 @@
 	node *Node
 }
 
-// Learn implements dispatcher.Targets.
-func (t *targetRouter) Learn(name string, load carrier.Load, failed bool) {
-	t.Router.Learn(name, load, failed)
+// RecordCallEnd implements dispatcher.Targets.
+func (t *targetRouter) RecordCallEnd(name string, load carrier.Load, failed bool) {
+	t.Router.RecordCallEnd(name, load, failed)
 	t.node.reportSiblingLoad(name, load)
 }
 
--- a/internal/relayer/virtual_test.go
+++ b/internal/relayer/virtual_test.go
@@ -192,9 +192,9 @@
 	}
 }
 
-// HandOn implements executor.Siblings.
-func (v *virtualNode) HandOn(service string, exclude []string) (gossiper.Member, bool) {
-	return v.router.HandOn(service, exclude)
+// PickForHandOff implements executor.Siblings.
+func (v *virtualNode) PickForHandOff(service string, exclude []string) (gossiper.Member, bool) {
+	return v.router.PickForHandOff(service, exclude)
 }
 
 // Member implements executor.Siblings.
@@ -202,9 +202,9 @@
 	return v.deployment.member(name).record(), true
 }
 
-// Reservation implements executor.Siblings.
-func (v *virtualNode) Reservation(service string, exclude []string) (gossiper.Member, bool) {
-	return v.router.Reservation(service, exclude)
+// PickForReservation implements executor.Siblings.
+func (v *virtualNode) PickForReservation(service string, exclude []string) (gossiper.Member, bool) {
+	return v.router.PickForReservation(service, exclude)
 }
 
 // Do implements executor.Upstream.
--- a/internal/router/cheapest.go
+++ b/internal/router/cheapest.go
@@ -17,9 +17,9 @@
 	loadCost             = 40 * time.Millisecond
 	// reportLifetime is how long a target's load report is used, with linearly falling weight. In a large fleet an
 	// entry node gets reports of most targets less than once a second.
-	reportLifetime  = 2 * time.Second
-	relaxedSlowCost = 100 * time.Millisecond
-	slowCost        = 250 * time.Millisecond
+	reportLifetime    = 2 * time.Second
+	toleratedSlowCost = 100 * time.Millisecond
+	slowCost          = 250 * time.Millisecond
 	// jitterCost is the upper bound of a random cost that spreads calls over targets with equal costs.
 	jitterCost = 4 * time.Millisecond
 )
@@ -46,10 +46,10 @@
 	return true
 }
 
-// isResponsive reports whether the target is believed to have free slots and its usual speed. If the need is relaxed,
-// the speed doesn't matter.
+// isResponsive reports whether the target is believed to have free slots and its usual speed. If the need
+// tolerates a slow upstream, the speed doesn't matter.
 func (c *Candidate) isResponsive(need Need) bool {
-	return c.load() < 1 && (need.Relaxed || !c.Slow)
+	return c.load() < 1 && (need.ToleratesSlow || !c.Slow)
 }
 
 // load returns the estimated fraction of the slots in use: the reported load, which fades with its age, or this node's
@@ -70,8 +70,8 @@
 	cost := time.Duration(float64(c.Distance) * distanceCostFactor * float64(targetLatency))
 	cost += time.Duration(c.FailureRate * float64(failureCost))
 	switch {
-	case c.Slow && need.Relaxed:
-		cost += relaxedSlowCost
+	case c.Slow && need.ToleratesSlow:
+		cost += toleratedSlowCost
 	case c.Slow:
 		cost += slowCost
 	}
--- a/internal/router/cheapest_test.go
+++ b/internal/router/cheapest_test.go
@@ -52,8 +52,8 @@
 		if got := pickShares(r, latencySensitive); got["far"] != 1000 {
 			t.Errorf("both near slow: %v", got)
 		}
-		relaxed := Need{Relaxed: true, Service: "s", TargetLatency: 1200 * time.Millisecond}
-		if got := pickShares(r, relaxed); got["far"] > 0 {
+		tolerant := Need{ToleratesSlow: true, Service: "s", TargetLatency: 1200 * time.Millisecond}
+		if got := pickShares(r, tolerant); got["far"] > 0 {
 			t.Errorf("a call with time to spare left the data centre: %v", got)
 		}
 		r.ObserveLoad("near-1", fast)
@@ -89,8 +89,8 @@
 func TestFailingTargetGetsFewCalls(t *testing.T) {
 	r := newCheapestRouter()
 	for i := range 40 {
-		r.Sent("near-1")
-		r.Learn("near-1", carrier.Load{Slots: 12}, i%2 == 0)
+		r.RecordCallStart("near-1")
+		r.RecordCallEnd("near-1", carrier.Load{Slots: 12}, i%2 == 0)
 	}
 	if got := pickShares(r, latencySensitive); got["near-1"] > 50 {
 		t.Errorf("a target that fails half of its calls got %v", got)
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -136,9 +136,9 @@
 
 // Need is what a call requires of its target.
 type Need struct {
-	// Relaxed is true if the response will be in time even if the upstream is slow for a short period.
-	Relaxed bool
-	Service string
+	// ToleratesSlow is true if the response will be in time even if the upstream is slow for a short period.
+	ToleratesSlow bool
+	Service       string
 	// TargetLatency is the time within which the response is fully useful; zero if none is set.
 	TargetLatency time.Duration
 }
@@ -248,9 +248,9 @@
 	return max(minWeight, math.Pow(speed, speedExponent)*success*success)
 }
 
-// HandOn chooses another node of the service for a request that found no free slot. It picks one of the nearest
+// PickForHandOff chooses another node of the service for a request that found no free slot. It picks one of the nearest
 // nodes, and a slow or failing one seldom. It reports false if there is none.
-func (r *Router) HandOn(service string, exclude []string) (gossiper.Member, bool) {
+func (r *Router) PickForHandOff(service string, exclude []string) (gossiper.Member, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.clock.Now()
@@ -261,9 +261,9 @@
 	return usable[Weighted{}.Pick(Need{}, r.candidates(usable, now), r.random)].Member, true
 }
 
-// Reservation chooses another node of the service for a reservation. All nodes are equally likely, because a node pulls
-// a reserved request only when it has a free slot. It reports false if there is none.
-func (r *Router) Reservation(service string, exclude []string) (gossiper.Member, bool) {
+// PickForReservation chooses another node of the service for a reservation. All nodes are equally likely, because a
+// node pulls a reserved request only when it has a free slot. It reports false if there is none.
+func (r *Router) PickForReservation(service string, exclude []string) (gossiper.Member, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	usable := r.usable(service, exclude, r.clock.Now(), false)
@@ -291,8 +291,9 @@
 	return len(r.services[service])
 }
 
-// Sent records that a call is sent to the target. The caller must call Learn when the call has ended.
-func (r *Router) Sent(name string) {
+// RecordCallStart records that a call is sent to the target. The caller must call RecordCallEnd when the call has
+// ended.
+func (r *Router) RecordCallStart(name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if t, ok := r.targets[name]; ok {
@@ -300,9 +301,9 @@
 	}
 }
 
-// Learn records the outcome of a call to the target. failed is true if the target or its upstream failed; a refusal
-// for lack of capacity is not a failure.
-func (r *Router) Learn(name string, load carrier.Load, failed bool) {
+// RecordCallEnd records the outcome of a call to the target. failed is true if the target or its upstream failed; a
+// refusal for lack of capacity is not a failure.
+func (r *Router) RecordCallEnd(name string, load carrier.Load, failed bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t, ok := r.targets[name]
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -56,8 +56,8 @@
 		r.Update(newMember("bad", "r1", "dc1"))
 		r.Update(newMember("good", "r1", "dc1"))
 		for range failuresToBackOff {
-			r.Sent("bad")
-			r.Learn("bad", carrier.Load{}, true)
+			r.RecordCallStart("bad")
+			r.RecordCallEnd("bad", carrier.Load{}, true)
 		}
 		if got := countPicks(r, 200)["bad"]; got > 0 {
 			t.Errorf("a target that backs off got %d calls", got)
@@ -66,8 +66,8 @@
 		if got := countPicks(r, 2000)["bad"]; got != 1 {
 			t.Errorf("a target whose backoff has ended got %d calls at once, want 1 probe", got)
 		}
-		r.Sent("bad")
-		r.Learn("bad", carrier.Load{}, false)
+		r.RecordCallStart("bad")
+		r.RecordCallEnd("bad", carrier.Load{}, false)
 		if got := countPicks(r, 2000)["bad"]; got == 0 {
 			t.Error("a target that has recovered gets no calls")
 		}
@@ -82,8 +82,8 @@
 		if name == "slow" {
 			latency = 30 * time.Millisecond
 		}
-		r.Sent(name)
-		r.Learn(name, carrier.Load{Latency: latency, Slots: 12}, false)
+		r.RecordCallStart(name)
+		r.RecordCallEnd(name, carrier.Load{Latency: latency, Slots: 12}, false)
 	}
 	counts := countPicks(r, 3000)
 	t.Logf("%v", counts)
@@ -97,8 +97,8 @@
 	m := newMember("a", "r1", "dc1")
 	r.Update(m)
 	for range failuresToBackOff {
-		r.Sent("a")
-		r.Learn("a", carrier.Load{}, true)
+		r.RecordCallStart("a")
+		r.RecordCallEnd("a", carrier.Load{}, true)
 	}
 	m.Incarnation = 2
 	r.Update(m)
