--- a/internal/dispatcher/attempts.go
+++ b/internal/dispatcher/attempts.go
@@ -14,8 +14,8 @@
 	"github.com/marigoldrelay/marigoldrelay/internal/router"
 )
 
-// Journey is the state of one call across its attempts.
-type Journey struct {
+// CallProgress is the state of one call across its attempts.
+type CallProgress struct {
 	// Arrivals is the number of attempts that reached an upstream or may have.
 	Arrivals int
 	// HandBacks is the number of attempts that a node handed back.
@@ -46,33 +46,33 @@
 
 // runAttempts sends attempts of the call until one is not retried, and returns its refusal, or nil if resp holds
 // the response.
-func (d *Dispatcher) runAttempts(ctx context.Context, call *Call, j *Journey, req *fasthttp.Request, resp *fasthttp.Response) *refuser.Refusal {
+func (d *Dispatcher) runAttempts(ctx context.Context, call *Call, p *CallProgress, req *fasthttp.Request, resp *fasthttp.Response) *refuser.Refusal {
 	if !call.BelowRetry {
 		d.Retries.Earn(call.Neighbour)
 	}
 	var outcome carrier.Outcome
 	var saved savedOutcome
 	for {
-		choice, optional, ok := d.pickTarget(call, j)
+		choice, optional, ok := d.pickTarget(call, p)
 		if !ok {
-			if j.Tries == 0 {
+			if p.Tries == 0 {
 				outcome.Refusal = noUpstreamRefusal()
 			}
 			break
 		}
-		j.Tries++
-		j.Target = choice.Name
-		j.Load, j.LoadAge, j.Slow = choice.Load, choice.LoadAge, choice.Slow
-		outcome = d.sendHedged(ctx, call, j, choice.Member, optional, req, resp)
-		j.countArrival(&outcome)
-		reason, retryable := d.retryReason(call, j, &outcome, resp)
+		p.Tries++
+		p.Target = choice.Name
+		p.Load, p.LoadAge, p.Slow = choice.Load, choice.LoadAge, choice.Slow
+		outcome = d.sendHedged(ctx, call, p, choice.Member, optional, req, resp)
+		p.countArrival(&outcome)
+		reason, retryable := d.retryReason(call, p, &outcome, resp)
 		if !retryable && isOverBudget(&outcome) {
-			d.reportNotRetried(call, j.Target, meter.RetryRefusalUpstream)
+			d.reportRetryRefused(call, p.Target, meter.RetryRefusalUpstream)
 		}
-		if !retryable || !d.admitRetry(call, j, &outcome) {
+		if !retryable || !d.admitRetry(call, p, &outcome) {
 			break
 		}
-		j.recordRetried(choice.Name, &outcome)
+		p.recordRetried(choice.Name, &outcome)
 		saved.save(&outcome, resp)
 		d.Meter.Retried(reason)
 	}
@@ -132,14 +132,14 @@
 // nodes left, including those that handed the call back, and if the target is believed to have free slots and its
 // usual speed, or the attempt is the call's first. Otherwise, and after maxHandBacks hand-backs, the attempt is not
 // optional and can go to a node that handed the call back.
-func (d *Dispatcher) pickTarget(call *Call, j *Journey) (choice router.Choice, optional, ok bool) {
-	if j.HandBacks < maxHandBacks {
-		exclude := append(append([]string(nil), j.excluded...), j.handedBack...)
-		if choice, ok := d.Targets.Pick(d.need(call), exclude); ok && (choice.Responsive || j.Tries == 0) {
-			return choice, choice.Alternatives > 0 || len(j.handedBack) > 0, true
+func (d *Dispatcher) pickTarget(call *Call, p *CallProgress) (choice router.Choice, optional, ok bool) {
+	if p.HandBacks < maxHandBacks {
+		exclude := append(append([]string(nil), p.excluded...), p.handedBack...)
+		if choice, ok := d.Targets.Pick(d.need(call), exclude); ok && (choice.Responsive || p.Tries == 0) {
+			return choice, choice.Alternatives > 0 || len(p.handedBack) > 0, true
 		}
 	}
-	choice, ok = d.Targets.Pick(d.need(call), j.excluded)
+	choice, ok = d.Targets.Pick(d.need(call), p.excluded)
 	return choice, false, ok
 }
 
@@ -193,30 +193,30 @@
 }
 
 // recordRetried records the outcome of an attempt that is retried.
-func (j *Journey) recordRetried(target string, outcome *carrier.Outcome) {
+func (p *CallProgress) recordRetried(target string, outcome *carrier.Outcome) {
 	switch {
 	case isHandedBack(outcome):
-		j.HandBacks++
-		j.handedBack = append(j.handedBack, target)
+		p.HandBacks++
+		p.handedBack = append(p.handedBack, target)
 	case !isConnectionFault(outcome):
 		if outcome.IsRefusedAs(refuser.ReasonQueueFull) {
-			j.QueueFullRefusals++
+			p.QueueFullRefusals++
 		}
 		if isOverBudget(outcome) {
-			j.OverBudget++
+			p.OverBudget++
 		}
-		j.excluded = append(j.excluded, target)
+		p.excluded = append(p.excluded, target)
 	}
 }
 
 // countArrival counts an attempt that reached an upstream, and whether the upstream may have run it.
-func (j *Journey) countArrival(outcome *carrier.Outcome) {
+func (p *CallProgress) countArrival(outcome *carrier.Outcome) {
 	if !outcome.Reached() {
 		return
 	}
-	j.Arrivals++
+	p.Arrivals++
 	if !outcome.IsNotRun() {
-		j.Runs++
+		p.Runs++
 	}
 }
 
@@ -234,8 +234,8 @@
 }
 
 // nextAttempt returns the next attempt of the call.
-func (d *Dispatcher) nextAttempt(call *Call, j *Journey, optional bool) carrier.Attempt {
-	return d.newAttempt(call, call.tryFor(j.Arrivals), optional, j.HandBacks > 0)
+func (d *Dispatcher) nextAttempt(call *Call, p *CallProgress, optional bool) carrier.Attempt {
+	return d.newAttempt(call, call.tryFor(p.Arrivals), optional, p.HandBacks > 0)
 }
 
 func (d *Dispatcher) newAttempt(call *Call, try carrier.Try, optional, handedOff bool) carrier.Attempt {
@@ -252,7 +252,7 @@
 		Optional:      optional,
 		Rank:          call.Rank,
 		ToleratesSlow: d.need(call).ToleratesSlow,
-		RequestID:     call.Request,
+		RequestID:     call.RequestID,
 		Service:       call.Service,
 		Try:           try,
 		UsefulWait:    d.usefulWait(call),
@@ -314,17 +314,17 @@
 }
 
 // retryReason reports whether a retry could help and is safe, and the reason for it.
-func (d *Dispatcher) retryReason(call *Call, j *Journey, outcome *carrier.Outcome, resp *fasthttp.Response) (meter.RetryReason, bool) {
+func (d *Dispatcher) retryReason(call *Call, p *CallProgress, outcome *carrier.Outcome, resp *fasthttp.Response) (meter.RetryReason, bool) {
 	refusal := outcome.Refusal
 	switch {
 	case refusal == nil:
 		return meter.RetryFailed, call.Idempotent && isErrorResponse(resp)
 	case refusal.Reason == refuser.ReasonBusy:
 		return meter.RetryHandedBack, true
-	case refusal.Reason == refuser.ReasonQueueFull && j.QueueFullRefusals < maxQueueFullRefusals && !d.callerCanRetry(call):
+	case refusal.Reason == refuser.ReasonQueueFull && p.QueueFullRefusals < maxQueueFullRefusals && !d.callerCanRetry(call):
 		return meter.RetryNotRun, true
 	case refusal.Reason == refuser.ReasonRetryBudget:
-		return meter.RetryElsewhere, j.OverBudget < maxOverBudget
+		return meter.RetryElsewhere, p.OverBudget < maxOverBudget
 	case refusal.IsNotRun():
 		return meter.RetryNotRun, isLocalRefusal(refusal.Reason)
 	default:
@@ -347,12 +347,12 @@
 
 // admitRetry reports whether the call's limits and the retry budget allow another attempt. The retry spends budget
 // only if the last attempt reached an upstream or may have.
-func (d *Dispatcher) admitRetry(call *Call, j *Journey, outcome *carrier.Outcome) bool {
+func (d *Dispatcher) admitRetry(call *Call, p *CallProgress, outcome *carrier.Outcome) bool {
 	var reason meter.RetryRefusal
 	switch {
 	case outcome.RetrySpent:
 		reason = meter.RetryRefusalNested
-	case j.Tries >= maxTries || j.Runs >= call.Attempts:
+	case p.Tries >= maxTries || p.Runs >= call.Attempts:
 		reason = meter.RetryRefusalTries
 	case !d.Clock.Now().Before(call.Deadline):
 		reason = meter.RetryRefusalDeadline
@@ -361,21 +361,21 @@
 	default:
 		return true
 	}
-	d.reportNotRetried(call, j.Target, reason)
+	d.reportRetryRefused(call, p.Target, reason)
 	return false
 }
 
-func (d *Dispatcher) reportNotRetried(call *Call, target string, reason meter.RetryRefusal) {
+func (d *Dispatcher) reportRetryRefused(call *Call, target string, reason meter.RetryRefusal) {
 	d.Meter.RetryRefused(reason)
-	if d.NotRetried != nil {
-		d.NotRetried(call, target, reason)
+	if d.OnRetryRefused != nil {
+		d.OnRetryRefused(call, target, reason)
 	}
 }
 
 func (d *Dispatcher) recordOutcome(call *Call, outcome *carrier.Outcome, resp *fasthttp.Response) {
 	failed := outcome.Refusal != nil || isErrorResponse(resp)
 	if failed && call.ParentCall != "" {
-		d.FailedBelow(call.ParentCall)
+		d.OnNestedFailure(call.ParentCall)
 	}
 	if outcome.Refusal == nil {
 		total := d.Clock.Now().Sub(call.Started)
--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -97,8 +97,8 @@
 	// ParentCall is the id of the call during which the upstream made this one, or empty.
 	ParentCall string
 	Rank       string
-	// Request is the request id that the caller set, or empty.
-	Request string
+	// RequestID is the request id that the caller set, or empty.
+	RequestID string
 	// Route is the name of the route, or empty.
 	Route   string
 	Service string
@@ -115,28 +115,28 @@
 	Caller func() string
 	Claims Claims
 	Clock  timekeeper.Clock
-	// FailedBelow is called with the id of the parent of each nested call that has finally failed.
-	FailedBelow func(call string)
-	// Finished, if not nil, is called with each call that has ended and its outcome.
-	Finished func(call *Call, journey *Journey, resp *fasthttp.Response, refusal *refuser.Refusal)
-	// Hedged, if not nil, is called before each hedge is sent, with the targets of both attempts.
-	Hedged      func(call *Call, first, second string, reason meter.RetryReason)
+	// OnNestedFailure is called with the id of the parent of each nested call that has finally failed.
+	OnNestedFailure func(call string)
+	// OnFinished, if not nil, is called with each call that has ended and its outcome.
+	OnFinished func(call *Call, progress *CallProgress, resp *fasthttp.Response, refusal *refuser.Refusal)
+	// OnHedge, if not nil, is called before each hedge is sent, with the targets of both attempts.
+	OnHedge     func(call *Call, first, second string, reason meter.RetryReason)
 	Interpreter Interpreter
 	Meter       *meter.Meter
 	// Name is the prefix of call ids.
 	Name string
-	// NotRetried, if not nil, is called for each retry or hedge that is refused, with the target of the previous
-	// attempt.
-	NotRetried func(call *Call, target string, reason meter.RetryRefusal)
-	// OpenContext returns the call context that an upstream copied into its request. It reports false if there
+	// OnRetryRefused, if not nil, is called for each retry or hedge that is refused, with the target of the
+	// previous attempt.
+	OnRetryRefused func(call *Call, target string, reason meter.RetryRefusal)
+	// ReadContext returns the call context that an upstream copied into its request. It reports false if there
 	// is none.
-	OpenContext func(req *fasthttp.Request) (carrier.Context, bool)
+	ReadContext func(req *fasthttp.Request) (carrier.Context, bool)
 	Retries     *budgeter.Retries
 	// Self is the name under which this node is a target.
-	Self    string
-	Runs    AttemptFinder
-	Sender  Sender
-	Targets Targets
+	Self          string
+	AttemptFinder AttemptFinder
+	Sender        Sender
+	Targets       Targets
 }
 
 // Interpreter parses the request headers that callers set.
@@ -180,9 +180,9 @@
 // Dispatch serves the caller's request and writes the response to resp, or returns the refusal.
 func (d *Dispatcher) Dispatch(ctx context.Context, req *fasthttp.Request, resp *fasthttp.Response) *refuser.Refusal {
 	call, refusal := d.newCall(d.Clock.Now(), req)
-	journey := &Journey{}
+	progress := &CallProgress{}
 	if refusal == nil {
-		run := func() *refuser.Refusal { return d.runAttempts(ctx, call, journey, req, resp) }
+		run := func() *refuser.Refusal { return d.runAttempts(ctx, call, progress, req, resp) }
 		if call.Key != "" && !call.Idempotent {
 			refusal = d.Claims.Run(ctx, call, req, resp, run)
 		} else {
@@ -192,8 +192,8 @@
 	if refusal != nil {
 		d.Meter.Refused(refusal.Reason)
 	}
-	if d.Finished != nil {
-		d.Finished(call, journey, resp, refusal)
+	if d.OnFinished != nil {
+		d.OnFinished(call, progress, resp, refusal)
 	}
 	return refusal
 }
@@ -203,12 +203,12 @@
 func (d *Dispatcher) newCall(now time.Time, req *fasthttp.Request) (*Call, *refuser.Refusal) {
 	call := &Call{ID: fmt.Sprintf("%s.%d", d.Name, d.callSequence.Add(1)), Started: now}
 	parsed, err := d.Interpreter.ReadRequest(&req.Header)
-	call.Request = parsed.ID
+	call.RequestID = parsed.ID
 	table := d.table.Load()
 	if table == nil {
 		return call, refuser.Later(refuser.ReasonNoDocument, noUpstreamRetry, "no configuration is in force yet")
 	}
-	inherited, nested := d.OpenContext(req)
+	inherited, nested := d.ReadContext(req)
 	stripHeaders(req)
 	route := table.matcher.Match(string(req.Header.Host()), string(req.Header.Method()), requestPath(req))
 	if route == nil {
@@ -224,7 +224,7 @@
 	if nested {
 		call.inheritContext(&inherited)
 	}
-	if parent, ok := d.Runs.Find(inherited.Call, parsed.Parent); ok {
+	if parent, ok := d.AttemptFinder.Find(inherited.Call, parsed.Parent); ok {
 		call.BelowRetry = parent.Try != carrier.TryFirst
 		call.ParentCall = parent.Call
 	}
--- a/internal/dispatcher/dispatcher_test.go
+++ b/internal/dispatcher/dispatcher_test.go
@@ -124,19 +124,19 @@
 		}
 		l.Dispatcher = New(Config{
 			Clock: timekeeper.System{},
-			FailedBelow: func(call string) {
+			OnNestedFailure: func(call string) {
 				parent.mu.Lock()
 				defer parent.mu.Unlock()
 				parent.retrySpent[call] = true
 			},
-			Interpreter: interpreter.Native{},
-			Meter:       meter.New(),
-			Name:        fmt.Sprintf("n%d", i),
-			OpenContext: func(req *fasthttp.Request) (carrier.Context, bool) { return carrier.ReadContext(key, req) },
-			Retries:     budgeter.NewRetries(func(string) float64 { return retryRatio }),
-			Runs:        l,
-			Sender:      l,
-			Targets:     l,
+			Interpreter:   interpreter.Native{},
+			Meter:         meter.New(),
+			Name:          fmt.Sprintf("n%d", i),
+			ReadContext:   func(req *fasthttp.Request) (carrier.Context, bool) { return carrier.ReadContext(key, req) },
+			Retries:       budgeter.NewRetries(func(string) float64 { return retryRatio }),
+			AttemptFinder: l,
+			Sender:        l,
+			Targets:       l,
 		})
 		l.Configure(document)
 		chain = append(chain, l)
--- a/internal/dispatcher/hedge.go
+++ b/internal/dispatcher/hedge.go
@@ -118,9 +118,9 @@
 	return pending
 }
 
-// LoadSeen records a node's report of the load of its upstream. If the upstream has become slow, the calls that
+// HandleLoadReport records a node's report of the load of its upstream. If the upstream has become slow, the calls that
 // wait for it are hedged.
-func (d *Dispatcher) LoadSeen(target string, load carrier.Load) {
+func (d *Dispatcher) HandleLoadReport(target string, load carrier.Load) {
 	if !d.Targets.ObserveLoad(target, load) {
 		return
 	}
@@ -150,17 +150,17 @@
 
 // sendHedged sends an attempt, and a hedge to another target if the first attempt is overdue or its upstream
 // becomes slow. The first successful response wins and the other attempt is cancelled.
-func (d *Dispatcher) sendHedged(ctx context.Context, call *Call, j *Journey, target gossiper.Member, optional bool, req *fasthttp.Request, resp *fasthttp.Response) carrier.Outcome {
+func (d *Dispatcher) sendHedged(ctx context.Context, call *Call, p *CallProgress, target gossiper.Member, optional bool, req *fasthttp.Request, resp *fasthttp.Response) carrier.Outcome {
 	// Nested calls are not hedged, because the hedges of each level would multiply.
-	if !call.Idempotent || call.Depth > 0 || j.Runs+1 >= call.Attempts {
-		return d.sendAttempt(ctx, call, target, d.nextAttempt(call, j, optional), req, resp)
+	if !call.Idempotent || call.Depth > 0 || p.Runs+1 >= call.Attempts {
+		return d.sendAttempt(ctx, call, target, d.nextAttempt(call, p, optional), req, resp)
 	}
 	firstCtx, cancelFirst := context.WithCancel(ctx)
 	defer cancelFirst()
 	secondCtx, cancelSecond := context.WithCancel(ctx)
 	defer cancelSecond()
 	h := &hedge{
-		call: call, ctx: secondCtx, exclude: append([]string{target.Name}, j.excluded...),
+		call: call, ctx: secondCtx, exclude: append([]string{target.Name}, p.excluded...),
 		outcome: make(chan carrier.Outcome, 1), req: &fasthttp.Request{}, resp: &fasthttp.Response{},
 		cancelFirst: cancelFirst, firstTarget: target.Name,
 	}
@@ -174,16 +174,16 @@
 		})
 		defer timer.Stop()
 	}
-	outcome := d.sendAttempt(firstCtx, call, target, d.nextAttempt(call, j, optional), req, resp)
+	outcome := d.sendAttempt(firstCtx, call, target, d.nextAttempt(call, p, optional), req, resp)
 	if !h.endFirst() {
 		return outcome
 	}
-	j.Hedged = true
+	p.Hedged = true
 	if isSuccess(&outcome, resp) {
 		return outcome
 	}
 	secondOutcome := <-h.outcome
-	j.countArrival(&secondOutcome)
+	p.countArrival(&secondOutcome)
 	if isSuccess(&secondOutcome, h.resp) || (outcome.IsNotRun() && !secondOutcome.IsNotRun()) {
 		h.resp.CopyTo(resp)
 		return secondOutcome
@@ -220,7 +220,7 @@
 // runHedge picks another one, up to maxHedgeTries.
 func (d *Dispatcher) runHedge(h *hedge, reason meter.RetryReason) {
 	if !d.Retries.Spend(h.call.Neighbour) {
-		d.reportNotRetried(h.call, h.firstTarget, meter.RetryRefusalBudget)
+		d.reportRetryRefused(h.call, h.firstTarget, meter.RetryRefusalBudget)
 		return
 	}
 	if !h.start() {
@@ -235,8 +235,8 @@
 			break
 		}
 		h.exclude = append(h.exclude, target.Name)
-		if d.Hedged != nil {
-			d.Hedged(h.call, h.firstTarget, target.Name, reason)
+		if d.OnHedge != nil {
+			d.OnHedge(h.call, h.firstTarget, target.Name, reason)
 		}
 		// The first attempt may have reached an upstream, so the hedge counts as a retry.
 		attempt := d.newAttempt(h.call, h.call.tryFor(1), true, true)
--- a/internal/dispatcher/hedge_test.go
+++ b/internal/dispatcher/hedge_test.go
@@ -40,7 +40,7 @@
 		// Only the report can start the hedge in time: the timer would take twice as long.
 		go func() {
 			time.Sleep(4 * time.Millisecond)
-			d.LoadSeen("target", carrier.Load{Slots: 12, Slowdown: 7})
+			d.HandleLoadReport("target", carrier.Load{Slots: 12, Slowdown: 7})
 		}()
 		started := time.Now()
 		if refusal := d.Dispatch(context.Background(), newRequest(), &fasthttp.Response{}); refusal != nil {
--- a/internal/relayer/eventlog.go
+++ b/internal/relayer/eventlog.go
@@ -77,18 +77,18 @@
 
 // callFinished counts a call that has ended at this entry node and logs it, unless it is a success that is not
 // traced.
-func (n *Node) callFinished(call *dispatcher.Call, journey *dispatcher.Journey, resp *fasthttp.Response, refusal *refuser.Refusal) {
+func (n *Node) callFinished(call *dispatcher.Call, progress *dispatcher.CallProgress, resp *fasthttp.Response, refusal *refuser.Refusal) {
 	took := n.clock.Now().Sub(call.Started)
-	n.meter.Finished(call.Service, call.Rank, outcomeLabel(resp, refusal), took, journey.LoadAge)
+	n.meter.Finished(call.Service, call.Rank, outcomeLabel(resp, refusal), took, progress.LoadAge)
 	isGood := refusal == nil && resp.StatusCode() < fasthttp.StatusBadRequest
-	if isGood && !isTraced(call.Request) {
+	if isGood && !isTraced(call.RequestID) {
 		return
 	}
 	fields := []any{
-		"request", call.Request, "call", call.ID, "route", call.Route, "service", call.Service, "rank", call.Rank,
-		"target", journey.Target, "tries", journey.Tries, "arrivals", journey.Arrivals, "hand-backs", journey.HandBacks,
-		"over-budget", journey.OverBudget, "hedged", journey.Hedged,
-		"believed-load", journey.Load, "believed-slow", journey.Slow, "load-age", journey.LoadAge,
+		"request", call.RequestID, "call", call.ID, "route", call.Route, "service", call.Service, "rank", call.Rank,
+		"target", progress.Target, "tries", progress.Tries, "arrivals", progress.Arrivals, "hand-backs", progress.HandBacks,
+		"over-budget", progress.OverBudget, "hedged", progress.Hedged,
+		"believed-load", progress.Load, "believed-slow", progress.Slow, "load-age", progress.LoadAge,
 		"took", took, "left", call.Deadline.Sub(n.clock.Now()), "version", n.documentVersion(),
 	}
 	if refusal != nil {
@@ -113,13 +113,13 @@
 
 // callHedged logs that a second try of a call begins beside the first.
 func (n *Node) callHedged(call *dispatcher.Call, first, second string, reason meter.RetryReason) {
-	n.events.write(!isTraced(call.Request), "A second try begins.", "request", call.Request, "call", call.ID,
+	n.events.write(!isTraced(call.RequestID), "A second try begins.", "request", call.RequestID, "call", call.ID,
 		"first", first, "second", second, "reason", reason, "took", n.clock.Now().Sub(call.Started))
 }
 
 // retryRefused logs that a call was refused a further try.
 func (n *Node) retryRefused(call *dispatcher.Call, target string, reason meter.RetryRefusal) {
-	n.events.write(!isTraced(call.Request), "A further try is refused.", "request", call.Request, "call", call.ID,
+	n.events.write(!isTraced(call.RequestID), "A further try is refused.", "request", call.RequestID, "call", call.ID,
 		"target", target, "neighbour", call.Neighbour, "reason", reason, "took", n.clock.Now().Sub(call.Started))
 }
 
--- a/internal/relayer/node.go
+++ b/internal/relayer/node.go
@@ -211,7 +211,7 @@
 	peers := &peerClient{
 		messenger: n.messenger, self: n.settings.Name, siblings: n.router.Members,
 		sendLoad: func(entries []string, load gossiper.Load) {
-			n.dispatcher.LoadSeen(n.settings.Name, loadFromGossip(load))
+			n.dispatcher.HandleLoadReport(n.settings.Name, loadFromGossip(load))
 			n.gossiper.SendLoad(entries, load)
 		},
 	}
@@ -237,24 +237,24 @@
 		Upstream: n.upstream,
 	})
 	n.dispatcher = dispatcher.New(dispatcher.Config{
-		Caller:      n.service,
-		Claims:      claimer.New(n.clock, peers, n),
-		Clock:       n.clock,
-		FailedBelow: n.executor.FailedBelow,
-		Finished:    n.callFinished,
-		Hedged:      n.callHedged,
-		NotRetried:  n.retryRefused,
-		Interpreter: n.interpreter,
-		Meter:       n.meter,
-		Name:        sender,
-		OpenContext: func(req *fasthttp.Request) (carrier.Context, bool) {
+		Caller:          n.service,
+		Claims:          claimer.New(n.clock, peers, n),
+		Clock:           n.clock,
+		OnNestedFailure: n.executor.FailedBelow,
+		OnFinished:      n.callFinished,
+		OnHedge:         n.callHedged,
+		OnRetryRefused:  n.retryRefused,
+		Interpreter:     n.interpreter,
+		Meter:           n.meter,
+		Name:            sender,
+		ReadContext: func(req *fasthttp.Request) (carrier.Context, bool) {
 			return carrier.ReadContext(n.secrets.Key, req)
 		},
-		Runs:    n.executor,
-		Retries: budgeter.NewRetries(n.retryRatio),
-		Self:    n.settings.Name,
-		Sender:  &attemptSender{carrier: n.carrier, executor: n.executor, self: n.settings.Name},
-		Targets: &targetRouter{Router: n.router, node: n},
+		AttemptFinder: n.executor,
+		Retries:       budgeter.NewRetries(n.retryRatio),
+		Self:          n.settings.Name,
+		Sender:        &attemptSender{carrier: n.carrier, executor: n.executor, self: n.settings.Name},
+		Targets:       &targetRouter{Router: n.router, node: n},
 	})
 }
 
--- a/internal/relayer/virtual_test.go
+++ b/internal/relayer/virtual_test.go
@@ -188,7 +188,7 @@
 // TellLoad implements executor.Links.
 func (v *virtualNode) TellLoad(entries []string, load carrier.Load) {
 	for _, name := range entries {
-		time.AfterFunc(virtualLatency, func() { v.deployment.member(name).dispatcher.LoadSeen(v.name, load) })
+		time.AfterFunc(virtualLatency, func() { v.deployment.member(name).dispatcher.HandleLoadReport(v.name, load) })
 	}
 }
 
