--- a/internal/cmd/statuscmd.go
+++ b/internal/cmd/statuscmd.go
@@ -120,6 +120,6 @@
 	}
 	_ = table.Flush()
 	for _, account := range status.Accounts {
-		_, _ = fmt.Fprintf(out, "account %s %s: %s of slot-time\n", account.Rank, account.Neighbour, account.Taken)
+		_, _ = fmt.Fprintf(out, "account %s %s: %s of slot-time\n", account.Rank, account.Neighbour, account.SlotTime)
 	}
 }
--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -62,9 +62,9 @@
 
 // AttemptFinder finds the attempts that run at the upstream beside the node.
 type AttemptFinder interface {
-	// Find returns the attempt that the upstream runs for a call, looked up by the call's id or by the request
-	// id that the caller set.
-	Find(call, request string) (carrier.Attempt, bool)
+	// FindRunning returns the attempt that the upstream runs for a call, looked up by the call's id or by the
+	// request id that the caller set.
+	FindRunning(call, request string) (carrier.Attempt, bool)
 }
 
 // Claims ensures that a request with an idempotency key runs once, whichever entry node receives it.
@@ -224,7 +224,7 @@
 	if nested {
 		call.inheritContext(&inherited)
 	}
-	if parent, ok := d.AttemptFinder.Find(inherited.Call, parsed.Parent); ok {
+	if parent, ok := d.AttemptFinder.FindRunning(inherited.Call, parsed.Parent); ok {
 		call.BelowRetry = parent.Try != carrier.TryFirst
 		call.ParentCall = parent.Call
 	}
--- a/internal/dispatcher/dispatcher_test.go
+++ b/internal/dispatcher/dispatcher_test.go
@@ -48,8 +48,8 @@
 	return router.Choice{Member: gossiper.Member{Name: "target"}}, true
 }
 
-// Find implements AttemptFinder.
-func (l *level) Find(string, string) (carrier.Attempt, bool) { return carrier.Attempt{}, false }
+// FindRunning implements AttemptFinder.
+func (l *level) FindRunning(string, string) (carrier.Attempt, bool) { return carrier.Attempt{}, false }
 
 // ObserveLoad implements Targets.
 func (l *level) ObserveLoad(string, carrier.Load) bool { return false }
--- a/internal/executor/executor.go
+++ b/internal/executor/executor.go
@@ -62,10 +62,10 @@
 	// ReportCrash reports a crash to the other nodes of the service. It returns when they have replied
 	// or a short timeout has passed.
 	ReportCrash(ctx context.Context, crash quarantiner.Crash)
-	// ReportInnocent reports to the other nodes of the service that a request has run without a crash.
-	ReportInnocent(ctx context.Context, cleared quarantiner.ClearedSuspect)
-	// TellLoad sends the upstream's current load to the entry nodes.
-	TellLoad(entries []string, load carrier.Load)
+	// ReportCleared reports to the other nodes of the service that a request has run without a crash.
+	ReportCleared(ctx context.Context, cleared quarantiner.ClearedSuspect)
+	// SendLoad sends the upstream's current load to the entry nodes.
+	SendLoad(entries []string, load carrier.Load)
 	// Reserve places a reservation with a sibling.
 	Reserve(ctx context.Context, to gossiper.Member, request ReserveRequest) error
 }
@@ -110,26 +110,26 @@
 
 // Config holds the dependencies of an Executor.
 type Config struct {
-	// Attempted is called for each attempt that has ended at this node, except one that the recorder rejects
+	// OnAttemptEnd is called for each attempt that has ended at this node, except one that the recorder rejects
 	// as a duplicate or barred; it can be nil.
-	Attempted func(x *Execution, outcome *carrier.Outcome, seen Seen)
+	OnAttemptEnd func(x *Execution, outcome *carrier.Outcome, snapshot UpstreamSnapshot)
 	// Bytes is the byte budget for reservations.
 	Bytes *budgeter.Bytes
 	Clock timekeeper.Clock
 	Links Links
 	Meter *meter.Meter
 	Name  string
-	// OnDown is called with the upstream's instance when its process is gone.
-	OnDown      func(instance string)
-	Quarantiner *quarantiner.Quarantiner
-	Recorder    *recorder.Recorder
+	// OnUpstreamDown is called with the upstream's instance when its process is gone.
+	OnUpstreamDown func(instance string)
+	Quarantiner    *quarantiner.Quarantiner
+	Recorder       *recorder.Recorder
 	// Repeats limits how many repeated requests reach the upstream.
 	Repeats  *budgeter.Repeats
 	Sender   Sender
 	Siblings Siblings
-	// Stamp adds the context to a request that the upstream propagates to its own calls.
-	Stamp    func(a *carrier.Attempt, req *fasthttp.Request, instance string, deadline time.Time)
-	Upstream Upstream
+	// AddContext adds the context to a request that the upstream propagates to its own calls.
+	AddContext func(a *carrier.Attempt, req *fasthttp.Request, instance string, deadline time.Time)
+	Upstream   Upstream
 }
 
 // Executor admits attempts, queues them and runs them at the upstream. It is safe for concurrent use.
@@ -153,7 +153,7 @@
 	retrySpent   map[string]time.Time
 }
 
-// New returns an executor whose upstream is gone until Announced is called.
+// New returns an executor whose upstream is gone until HandleAnnouncement is called.
 func New(config Config) *Executor {
 	return &Executor{
 		Config:           config,
@@ -185,10 +185,10 @@
 	e.schedule.Configure(config)
 }
 
-// Announced applies the newest announcement of the upstream. A new service refuses all queued requests and
+// HandleAnnouncement applies the newest announcement of the upstream. A new service refuses all queued requests and
 // resets the limit and the repeat budget; a new instance resets the load report. An instance that is new or
 // becomes ready restarts the limiter. Announcements are ignored after Drain.
-func (e *Executor) Announced(a announcer.Announcement) {
+func (e *Executor) HandleAnnouncement(a announcer.Announcement) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.draining.Load() {
@@ -277,7 +277,7 @@
 type AccountStatus struct {
 	Neighbour string        `json:"neighbour"`
 	Rank      string        `json:"rank"`
-	Taken     time.Duration `json:"taken"`
+	SlotTime  time.Duration `json:"taken"`
 }
 
 // Accounts returns the slot-time used by each rank and neighbour. The rank's name is empty where the
@@ -288,7 +288,7 @@
 	defer e.mu.Unlock()
 	var accounts []AccountStatus
 	for _, account := range e.schedule.Accounts() {
-		status := AccountStatus{Neighbour: account.Class.Neighbour, Taken: account.SlotTime}
+		status := AccountStatus{Neighbour: account.Class.Neighbour, SlotTime: account.SlotTime}
 		if document != nil && account.Class.Rank < len(document.Ranks) {
 			status.Rank = document.Ranks[account.Class.Rank].Name
 		}
@@ -315,7 +315,7 @@
 	x.requestArrived = started.Add(-x.Attempt.Age)
 	if refusal := e.precheck(x); refusal != nil {
 		outcome := e.refusedOutcome(refusal)
-		e.notifyAttempted(x, &outcome, started)
+		e.notifyAttemptEnd(x, &outcome, started)
 		return outcome
 	}
 	id := x.Attempt.ID()
@@ -332,34 +332,34 @@
 	}
 	e.mu.Unlock()
 	e.recordOutcome(id, x, outcome)
-	e.notifyAttempted(x, &outcome, started)
+	e.notifyAttemptEnd(x, &outcome, started)
 	return outcome
 }
 
-// Seen is the state of the upstream, as known to the executor, when an attempt ended.
-type Seen struct {
+// UpstreamSnapshot is the state of the upstream, as known to the executor, when an attempt ended.
+type UpstreamSnapshot struct {
 	Instance string
 	// LoadAge is the age of the upstream's last load report.
 	LoadAge  time.Duration
 	Queued   int
 	Running  int
 	Slowdown float64
-	// Took is the time since the attempt arrived.
-	Took time.Duration
+	// Elapsed is the time since the attempt arrived.
+	Elapsed time.Duration
 }
 
-func (e *Executor) notifyAttempted(x *Execution, outcome *carrier.Outcome, started time.Time) {
-	if e.Attempted == nil {
+func (e *Executor) notifyAttemptEnd(x *Execution, outcome *carrier.Outcome, started time.Time) {
+	if e.OnAttemptEnd == nil {
 		return
 	}
 	now := e.Clock.Now()
 	e.mu.Lock()
-	seen := Seen{
+	snapshot := UpstreamSnapshot{
 		Instance: e.announcement.Instance, LoadAge: now.Sub(e.load.receivedAt), Queued: e.schedule.Queued(),
-		Running: e.schedule.Running(), Slowdown: e.load.slowdown, Took: now.Sub(started),
+		Running: e.schedule.Running(), Slowdown: e.load.slowdown, Elapsed: now.Sub(started),
 	}
 	e.mu.Unlock()
-	e.Attempted(x, outcome, seen)
+	e.OnAttemptEnd(x, outcome, snapshot)
 }
 
 // recordOutcome stores the outcome of a non-idempotent attempt for a sender that lost its connection. It drops
--- a/internal/executor/harness_test.go
+++ b/internal/executor/harness_test.go
@@ -77,22 +77,22 @@
 		m.slowdown.Store(1)
 		clock := timekeeper.System{}
 		m.Executor = New(Config{
-			Bytes:       budgeter.NewBytes(clock, rate),
-			Clock:       clock,
-			Links:       m,
-			Meter:       meter.New(),
-			Name:        m.name,
-			OnDown:      func(string) {},
-			Quarantiner: quarantiner.New(clock, nil),
-			Recorder:    recorder.New(clock),
-			Repeats:     budgeter.NewRepeats(clock, func() budgeter.RepeatLimits { return budgeter.RepeatLimits{Window: time.Second} }),
-			Sender:      m,
-			Siblings:    m,
-			Stamp:       func(*carrier.Attempt, *fasthttp.Request, string, time.Time) {},
-			Upstream:    m,
+			Bytes:          budgeter.NewBytes(clock, rate),
+			Clock:          clock,
+			Links:          m,
+			Meter:          meter.New(),
+			Name:           m.name,
+			OnUpstreamDown: func(string) {},
+			Quarantiner:    quarantiner.New(clock, nil),
+			Recorder:       recorder.New(clock),
+			Repeats:        budgeter.NewRepeats(clock, func() budgeter.RepeatLimits { return budgeter.RepeatLimits{Window: time.Second} }),
+			Sender:         m,
+			Siblings:       m,
+			AddContext:     func(*carrier.Attempt, *fasthttp.Request, string, time.Time) {},
+			Upstream:       m,
 		})
 		m.Configure(document)
-		m.Announced(announcer.Announcement{
+		m.HandleAnnouncement(announcer.Announcement{
 			Address: "127.0.0.1:1", Instance: m.name, Service: testService, Slots: testSlots, State: announcer.StateReady,
 		})
 		g.members = append(g.members, m)
@@ -214,15 +214,15 @@
 	}
 }
 
-// ReportInnocent implements Links.
-func (m *member) ReportInnocent(_ context.Context, cleared quarantiner.ClearedSuspect) {
+// ReportCleared implements Links.
+func (m *member) ReportCleared(_ context.Context, cleared quarantiner.ClearedSuspect) {
 	for _, other := range m.group.members {
 		other.Quarantiner.Clear(cleared.Fingerprint)
 	}
 }
 
-// TellLoad implements Links.
-func (m *member) TellLoad([]string, carrier.Load) {}
+// SendLoad implements Links.
+func (m *member) SendLoad([]string, carrier.Load) {}
 
 // Member implements Siblings.
 func (m *member) Member(name string) (gossiper.Member, bool) {
--- a/internal/executor/load.go
+++ b/internal/executor/load.go
@@ -22,9 +22,9 @@
 	slowdown   float64
 }
 
-// Report records a load report of the upstream. If the upstream is slow, the scheduler adds slowStall to the
+// UpdateLoad records a load report of the upstream. If the upstream is slow, the scheduler adds slowStall to the
 // expected waits at admission.
-func (e *Executor) Report(load interpreter.Load) {
+func (e *Executor) UpdateLoad(load interpreter.Load) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.load = loadReport{receivedAt: e.Clock.Now(), slowdown: load.Slowdown}
@@ -38,9 +38,9 @@
 	e.notifyPeers()
 }
 
-// SiblingSeen adopts the best number of slots that the node of another upstream of the same service has
+// AdoptSiblingLoad adopts the best number of slots that the node of another upstream of the same service has
 // learned. Loads without one and loads of other services are ignored.
-func (e *Executor) SiblingSeen(service string, load carrier.Load) {
+func (e *Executor) AdoptSiblingLoad(service string, load carrier.Load) {
 	if load.BestSlotFraction == 0 {
 		return
 	}
@@ -55,7 +55,7 @@
 
 // LoadAge returns the age of the newest load report, whether any request is running at the upstream, and
 // whether this instance of it has reported its load at all.
-func (e *Executor) LoadAge() (age time.Duration, running, reports bool) {
+func (e *Executor) LoadAge() (age time.Duration, running, reportsLoad bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.Clock.Now().Sub(e.load.receivedAt), len(e.inFlight) > 0, !e.load.receivedAt.IsZero()
--- a/internal/executor/notices.go
+++ b/internal/executor/notices.go
@@ -83,7 +83,7 @@
 	e.notices.lastCondition = e.currentCondition()
 	e.notices.lastSentAt = now
 	e.Meter.Event("load_notices")
-	go e.Links.TellLoad(e.recentPeers(now), e.currentLoad())
+	go e.Links.SendLoad(e.recentPeers(now), e.currentLoad())
 }
 
 // recentPeers returns up to maxNotifiedPeers nodes that have sent an attempt within peerTTL, the most recent
--- a/internal/executor/run.go
+++ b/internal/executor/run.go
@@ -52,7 +52,7 @@
 	out := &fasthttp.Request{}
 	x.Request.Header.CopyTo(&out.Header)
 	out.SetBodyRaw(x.Request.Body())
-	e.Stamp(&x.Attempt, out, atStart.instance, x.Deadline)
+	e.AddContext(&x.Attempt, out, atStart.instance, x.Deadline)
 	started := e.Clock.Now()
 	err := e.Upstream.Do(ctx, out, x.Response, x.Deadline)
 	upstreamTime := e.Clock.Now().Sub(started)
@@ -88,7 +88,7 @@
 		return
 	}
 	if e.Quarantiner.Clear(fingerprint) {
-		go e.Links.ReportInnocent(context.Background(), quarantiner.ClearedSuspect{Fingerprint: fingerprint, Service: x.Attempt.Service})
+		go e.Links.ReportCleared(context.Background(), quarantiner.ClearedSuspect{Fingerprint: fingerprint, Service: x.Attempt.Service})
 	}
 }
 
@@ -172,13 +172,13 @@
 	switch {
 	case errors.Is(err, forwarder.ErrNotSent):
 		if errors.Is(err, syscall.ECONNREFUSED) {
-			e.OnDown(instance)
+			e.OnUpstreamDown(instance)
 		}
 		return refuser.New(refuser.ReasonNoUpstream, "the upstream takes no connection")
 	case errors.Is(err, ErrShed):
 		return refuser.Later(refuser.ReasonShed, sweepInterval, "the upstream has no room")
 	case errors.Is(err, ErrMisdirected):
-		e.OnDown(instance)
+		e.OnUpstreamDown(instance)
 		return refuser.New(refuser.ReasonNoUpstream, "another instance has the upstream's address")
 	case errors.Is(err, forwarder.ErrTimeout):
 		return refuser.Unknown(refuser.ReasonDeadline, "the upstream did not answer before the deadline")
@@ -233,7 +233,7 @@
 		return
 	}
 	e.Meter.Event("upstream_crashes")
-	e.OnDown(instance)
+	e.OnUpstreamDown(instance)
 	if len(crash.Fingerprints) == 0 {
 		return
 	}
@@ -241,9 +241,9 @@
 	e.Links.ReportCrash(ctx, crash)
 }
 
-// Find returns the running attempt of a call, looked up by the call's id or by the request id that its
+// FindRunning returns the running attempt of a call, looked up by the call's id or by the request id that its
 // caller gave it. Empty ids match nothing.
-func (e *Executor) Find(call, request string) (carrier.Attempt, bool) {
+func (e *Executor) FindRunning(call, request string) (carrier.Attempt, bool) {
 	if call == "" && request == "" {
 		return carrier.Attempt{}, false
 	}
@@ -258,9 +258,9 @@
 	return carrier.Attempt{}, false
 }
 
-// FailedBelow records that a call nested in the given one has finally failed. The outcome of the given call
+// RecordNestedFailure records that a call nested in the given one has finally failed. The outcome of the given call
 // says so, so that no caller above retries it again.
-func (e *Executor) FailedBelow(call string) {
+func (e *Executor) RecordNestedFailure(call string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.retrySpent[call] = e.Clock.Now().Add(retrySpentTTL)
--- a/internal/executor/slow_test.go
+++ b/internal/executor/slow_test.go
@@ -36,18 +36,18 @@
 		optional := func(a *carrier.Attempt) { a.Optional = true }
 		mandatory := func(*carrier.Attempt) {}
 		toleratesSlow := func(a *carrier.Attempt) { a.Optional, a.ToleratesSlow = true, true }
-		m.Report(interpreter.Load{Slots: testSlots, Slowdown: 1})
+		m.UpdateLoad(interpreter.Load{Slots: testSlots, Slowdown: 1})
 		if got := reasonOf(m.sendAttempt("well", optional)); got != "" {
 			t.Errorf("usual speed: refused as %s", got)
 		}
-		m.Report(interpreter.Load{Slots: testSlots, Slowdown: 7})
+		m.UpdateLoad(interpreter.Load{Slots: testSlots, Slowdown: 7})
 		if got := reasonOf(m.sendAttempt("slow", optional)); got != refuser.ReasonBusy {
 			t.Errorf("slow: %q", got)
 		}
 		if got := reasonOf(m.sendAttempt("must", mandatory)); got != "" {
 			t.Errorf("slow, no other node: refused as %s", got)
 		}
-		m.Report(interpreter.Load{Slots: testSlots, Slowdown: 7})
+		m.UpdateLoad(interpreter.Load{Slots: testSlots, Slowdown: 7})
 		if got := reasonOf(m.sendAttempt("relaxed", toleratesSlow)); got != "" {
 			t.Errorf("slow, time to spare: refused as %s", got)
 		}
@@ -55,7 +55,7 @@
 		if got := reasonOf(m.sendAttempt("old word", optional)); got != "" {
 			t.Errorf("expired load report: refused as %s", got)
 		}
-		m.Report(interpreter.Load{Slots: testSlots, Slowdown: 1})
+		m.UpdateLoad(interpreter.Load{Slots: testSlots, Slowdown: 1})
 		m.group.demand = func(string) time.Duration { return 100 * time.Millisecond }
 		for range testSlots {
 			go m.sendAttempt("filler", mandatory)
@@ -74,14 +74,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := newGroup(t, 1, true, 1, 1e9, testDocument(time.Second))
 		m := g.members[0]
-		m.Report(interpreter.Load{Slots: testSlots, Slowdown: 1})
+		m.UpdateLoad(interpreter.Load{Slots: testSlots, Slowdown: 1})
 		g.demand = func(string) time.Duration { return 100 * time.Millisecond }
 		outcomes := make(chan carrier.Outcome, 3*testSlots)
 		for range 3 * testSlots {
 			go func() { outcomes <- m.sendAttempt("old", func(*carrier.Attempt) {}) }()
 		}
 		synctest.Wait()
-		m.Announced(announcer.Announcement{
+		m.HandleAnnouncement(announcer.Announcement{
 			Address: "127.0.0.1:1", Instance: "other", Service: "archive", Slots: testSlots, State: announcer.StateReady,
 		})
 		answered, refused := 0, 0
@@ -108,7 +108,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := newGroup(t, 1, false, 1, 1e9, testDocument(time.Second))
 		m := g.members[0]
-		m.Report(interpreter.Load{Slots: testSlots, Slowdown: 1})
+		m.UpdateLoad(interpreter.Load{Slots: testSlots, Slowdown: 1})
 		g.demand = func(string) time.Duration { return serviceTime }
 		type result struct {
 			refused bool
--- a/internal/relayer/eventlog.go
+++ b/internal/relayer/eventlog.go
@@ -180,15 +180,15 @@
 
 // attemptFinished logs an attempt that has ended at the node beside the upstream, unless its outcome is routine and
 // its request is not traced.
-func (n *Node) attemptFinished(x *executor.Execution, outcome *carrier.Outcome, seen executor.Seen) {
+func (n *Node) attemptFinished(x *executor.Execution, outcome *carrier.Outcome, snapshot executor.UpstreamSnapshot) {
 	routine := isRoutine(outcome)
 	if routine && !isTraced(x.Attempt.RequestID) {
 		return
 	}
 	fields := []any{
 		"request", x.Attempt.RequestID, "call", x.Attempt.Call, "try", x.Attempt.Try, "sender", x.Attempt.Sender, "sequence", x.Attempt.Sequence,
-		"instance", seen.Instance, "running", seen.Running, "queued", seen.Queued, "slowdown", seen.Slowdown,
-		"load-age", seen.LoadAge, "took", seen.Took, "used", outcome.UpstreamTime, "optional", x.Attempt.Optional,
+		"instance", snapshot.Instance, "running", snapshot.Running, "queued", snapshot.Queued, "slowdown", snapshot.Slowdown,
+		"load-age", snapshot.LoadAge, "took", snapshot.Elapsed, "used", outcome.UpstreamTime, "optional", x.Attempt.Optional,
 		"arrived", outcome.Arrived,
 	}
 	if refusal := outcome.Refusal; refusal != nil {
--- a/internal/relayer/node.go
+++ b/internal/relayer/node.go
@@ -144,7 +144,7 @@
 	n.quarantiner = quarantiner.New(n.clock, n.requestQuarantined)
 	n.recorder = recorder.New(n.clock)
 	n.claimTable = claimer.NewTable(n.clock)
-	n.upstream = newLocalUpstream(n.clock, n.interpreter, func(load interpreter.Load) { n.executor.Report(load) },
+	n.upstream = newLocalUpstream(n.clock, n.interpreter, func(load interpreter.Load) { n.executor.UpdateLoad(load) },
 		forwarder.WithMaxBody(settings.MaxBodyBytes), forwarder.WithUnframed())
 	n.router = router.New(n.clock, newRandom(), n.policy, settings.Region, settings.DataCentre)
 	if err := n.buildRegister(); err != nil {
@@ -216,19 +216,19 @@
 		},
 	}
 	n.executor = executor.New(executor.Config{
-		Attempted:   n.attemptFinished,
-		Bytes:       n.bindingBudget,
-		Clock:       n.clock,
-		Links:       peers,
-		Meter:       n.meter,
-		Name:        n.settings.Name,
-		OnDown:      func(instance string) { n.registrar.MarkDown(instance) },
-		Quarantiner: n.quarantiner,
-		Recorder:    n.recorder,
-		Repeats:     budgeter.NewRepeats(n.clock, n.repeatLimits),
-		Sender:      n.carrier,
-		Siblings:    &siblingDirectory{Router: n.router, gossiper: n.gossiper},
-		Stamp: func(a *carrier.Attempt, req *fasthttp.Request, instance string, deadline time.Time) {
+		OnAttemptEnd:   n.attemptFinished,
+		Bytes:          n.bindingBudget,
+		Clock:          n.clock,
+		Links:          peers,
+		Meter:          n.meter,
+		Name:           n.settings.Name,
+		OnUpstreamDown: func(instance string) { n.registrar.MarkDown(instance) },
+		Quarantiner:    n.quarantiner,
+		Recorder:       n.recorder,
+		Repeats:        budgeter.NewRepeats(n.clock, n.repeatLimits),
+		Sender:         n.carrier,
+		Siblings:       &siblingDirectory{Router: n.router, gossiper: n.gossiper},
+		AddContext: func(a *carrier.Attempt, req *fasthttp.Request, instance string, deadline time.Time) {
 			carrier.WriteContext(n.secrets.Key, a, req, deadline)
 			n.interpreter.WriteHop(&req.Header, interpreter.Hop{
 				Caller: a.Caller, Instance: instance, Timeout: deadline.Sub(n.clock.Now()),
@@ -240,7 +240,7 @@
 		Caller:          n.service,
 		Claims:          claimer.New(n.clock, peers, n),
 		Clock:           n.clock,
-		OnNestedFailure: n.executor.FailedBelow,
+		OnNestedFailure: n.executor.RecordNestedFailure,
 		OnFinished:      n.callFinished,
 		OnHedge:         n.callHedged,
 		OnRetryRefused:  n.retryRefused,
@@ -278,7 +278,7 @@
 		return
 	}
 	if m, ok := n.gossiper.Member(name); ok {
-		n.executor.SiblingSeen(m.Service, load)
+		n.executor.AdoptSiblingLoad(m.Service, load)
 	}
 }
 
@@ -321,7 +321,7 @@
 func (n *Node) upstreamAnnounced(a announcer.Announcement) {
 	n.log.Info("The upstream changed.", "service", a.Service, "state", a.State, "slots", a.Slots, "address", a.Address)
 	n.upstream.reconnect(a)
-	n.executor.Announced(a)
+	n.executor.HandleAnnouncement(a)
 	n.gossiper.SetUpstream(a.Service, a.Slots, a.State)
 }
 
--- a/internal/relayer/peerclient.go
+++ b/internal/relayer/peerclient.go
@@ -55,13 +55,13 @@
 	c.callSiblings(crash.Service, methodCrash, crash)
 }
 
-// ReportInnocent implements executor.Links.
-func (c *peerClient) ReportInnocent(_ context.Context, cleared quarantiner.ClearedSuspect) {
+// ReportCleared implements executor.Links.
+func (c *peerClient) ReportCleared(_ context.Context, cleared quarantiner.ClearedSuspect) {
 	c.callSiblings(cleared.Service, methodInnocent, cleared)
 }
 
-// TellLoad implements executor.Links.
-func (c *peerClient) TellLoad(entries []string, load carrier.Load) {
+// SendLoad implements executor.Links.
+func (c *peerClient) SendLoad(entries []string, load carrier.Load) {
 	c.sendLoad(entries, gossiper.Load{
 		Queued: load.Queued, Running: load.Running, Slots: load.Slots, SlowdownPercent: int(100 * load.Slowdown),
 		BestSlotsPercent: int(math.Round(100 * load.BestSlotFraction)),
--- a/internal/relayer/probernode.go
+++ b/internal/relayer/probernode.go
@@ -19,7 +19,7 @@
 
 // Report passes the load that the upstream itself reports to the executor.
 func (p proberNode) Report(load interpreter.Load) {
-	p.node.executor.Report(load)
+	p.node.executor.UpdateLoad(load)
 }
 
 // Target returns what the prober needs to know about the upstream.
--- a/internal/relayer/virtual_test.go
+++ b/internal/relayer/virtual_test.go
@@ -182,11 +182,11 @@
 // ReportCrash implements executor.Links.
 func (v *virtualNode) ReportCrash(context.Context, quarantiner.Crash) {}
 
-// ReportInnocent implements executor.Links.
-func (v *virtualNode) ReportInnocent(context.Context, quarantiner.ClearedSuspect) {}
+// ReportCleared implements executor.Links.
+func (v *virtualNode) ReportCleared(context.Context, quarantiner.ClearedSuspect) {}
 
-// TellLoad implements executor.Links.
-func (v *virtualNode) TellLoad(entries []string, load carrier.Load) {
+// SendLoad implements executor.Links.
+func (v *virtualNode) SendLoad(entries []string, load carrier.Load) {
 	for _, name := range entries {
 		time.AfterFunc(virtualLatency, func() { v.deployment.member(name).dispatcher.HandleLoadReport(v.name, load) })
 	}
