--- a/internal/relayer/maintain.go
+++ b/internal/relayer/maintain.go
@@ -113,7 +113,7 @@
 	if rand.N(len(seeds)) != 0 {
 		return
 	}
-	value, err := n.register.proposer.Form(ctx, seeds)
+	value, err := n.register.proposer.CreateEmpty(ctx, seeds)
 	if err != nil {
 		n.log.Warn("The register is not formed yet.", "error", err)
 		return
--- a/internal/relayer/records.go
+++ b/internal/relayer/records.go
@@ -25,7 +25,7 @@
 }
 
 // UnmarshalJSON implements json.Unmarshaler. For records that can't be decompressed, the error wraps
-// replicator.ErrPacked.
+// replicator.ErrUnpack.
 func (r *memberRecords) UnmarshalJSON(data []byte) error {
 	if bytes.HasPrefix(data, []byte(`"`)) {
 		var packed []byte
--- a/internal/relayer/records_test.go
+++ b/internal/relayer/records_test.go
@@ -39,7 +39,7 @@
 		}
 	}
 	var got memberRecords
-	if err := json.Unmarshal([]byte(`"bm8gcmVjb3Jkcw=="`), &got); !errors.Is(err, replicator.ErrPacked) {
+	if err := json.Unmarshal([]byte(`"bm8gcmVjb3Jkcw=="`), &got); !errors.Is(err, replicator.ErrUnpack) {
 		t.Errorf("records that can't be unpacked give %v", err)
 	}
 }
--- a/internal/relayer/register.go
+++ b/internal/relayer/register.go
@@ -62,7 +62,7 @@
 	r := &register{node: n}
 	// The wall clock can step back over a restart, so the incarnation alone may not be unique.
 	r.proposer = replicator.NewProposer(n.clock, fmt.Sprintf("%s.%x.%s", n.settings.Name, n.incarnation, settingsreader.NewSecret()), r)
-	r.proposer.Tell(n.roundFinished)
+	r.proposer.SetRoundObserver(n.roundFinished)
 	n.register = r
 	if n.settings.DataFolder == "" {
 		return nil
@@ -239,7 +239,7 @@
 		return
 	}
 	if accepted := r.acceptor.Accepted(); accepted != nil {
-		r.proposer.Suppose(accepted.Replicas)
+		r.proposer.SetUnconfirmedReplicas(accepted.Replicas)
 	}
 }
 
@@ -313,7 +313,7 @@
 		return err
 	}
 	if n.activate(document, value) {
-		n.register.proposer.Follow(value.Replicas)
+		n.register.proposer.SetConfirmedReplicas(value.Replicas)
 	}
 	return nil
 }
--- a/internal/replicator/bootstrap.go
+++ b/internal/replicator/bootstrap.go
@@ -24,7 +24,7 @@
 	}
 	if newest := newestValue(replies); newest != nil {
 		if version, ok := newest.appliedVersion(change.ID); ok && version == 1 {
-			p.Follow(newest.Replicas)
+			p.SetConfirmedReplicas(newest.Replicas)
 			return p.Read(ctx)
 		}
 		return nil, ErrBootstrapped
@@ -33,9 +33,9 @@
 	return p.acceptFirst(ctx, ballot, empty.withChange(change))
 }
 
-// Form creates the register on the given replicas, without a document. All of them must be reachable. If
-// one already holds a value, Form runs a round on the replicas and returns the value that it reads.
-func (p *Proposer) Form(ctx context.Context, replicas []Replica) (*Value, error) {
+// CreateEmpty creates the register on the given replicas, without a document. All of them must be reachable. If
+// one already holds a value, CreateEmpty runs a round on the replicas and returns the value that it reads.
+func (p *Proposer) CreateEmpty(ctx context.Context, replicas []Replica) (*Value, error) {
 	ctx, cancel := context.WithTimeout(ctx, roundTimeout)
 	defer cancel()
 	ballot := p.nextBallot()
@@ -44,7 +44,7 @@
 		return nil, err
 	}
 	if newestValue(replies) != nil {
-		p.Suppose(replicas)
+		p.SetUnconfirmedReplicas(replicas)
 		return p.runRound(ctx, noChange)
 	}
 	return p.acceptFirst(ctx, ballot, &Value{Deployment: strings.ToLower(rand.Text()), Replicas: replicas, Revision: 1})
--- a/internal/replicator/fault_test.go
+++ b/internal/replicator/fault_test.go
@@ -52,7 +52,7 @@
 		replicas := c.bootstrap("a", "b", "c")
 		release := make(chan struct{})
 		frozen := NewProposer(c.proposer("x", nil).clock, "sleeper", heldAccepts{Transport: c, release: release})
-		frozen.Follow(replicas)
+		frozen.SetConfirmedReplicas(replicas)
 		outcome := make(chan error, 1)
 		go func() {
 			_, _, err := frozen.Apply(context.Background(), change("slept", 1, replicas))
@@ -129,7 +129,7 @@
 			}
 		}
 		p := NewProposer(c.proposer("x", nil).clock, "p", unresponsiveReplica{Transport: c, vm: "e"})
-		p.Follow(replicas)
+		p.SetConfirmedReplicas(replicas)
 		ctx, cancel := context.WithTimeout(t.Context(), operatorTimeout)
 		defer cancel()
 		started := time.Now()
--- a/internal/replicator/packer.go
+++ b/internal/replicator/packer.go
@@ -13,8 +13,8 @@
 // maxTextBytes is the size of the longest text that Unpack returns.
 const maxTextBytes = 4 << 20
 
-// ErrPacked is wrapped by the error of Unpack for data that is malformed or decompresses to too long a text.
-var ErrPacked = merry.Sentinel("text can't be unpacked")
+// ErrUnpack is wrapped by the error of Unpack for data that is malformed or decompresses to too long a text.
+var ErrUnpack = merry.Sentinel("text can't be unpacked")
 
 // Pack compresses a document's text in the gzip format (RFC 1952). It is safe for concurrent use.
 func Pack(text string) []byte {
@@ -40,18 +40,18 @@
 	return w
 }}
 
-// Unpack returns the text that Pack compressed, up to maxTextBytes. The error wraps ErrPacked.
+// Unpack returns the text that Pack compressed, up to maxTextBytes. The error wraps ErrUnpack.
 func Unpack(packed []byte) (string, error) {
 	r, err := gzip.NewReader(bytes.NewReader(packed))
 	if err != nil {
-		return "", fmt.Errorf("%w: %w", ErrPacked, err)
+		return "", fmt.Errorf("%w: %w", ErrUnpack, err)
 	}
 	text, err := io.ReadAll(io.LimitReader(r, maxTextBytes+1))
 	if err != nil {
-		return "", fmt.Errorf("%w: %w", ErrPacked, err)
+		return "", fmt.Errorf("%w: %w", ErrUnpack, err)
 	}
 	if len(text) > maxTextBytes {
-		return "", fmt.Errorf("%w: more than %d bytes", ErrPacked, maxTextBytes)
+		return "", fmt.Errorf("%w: more than %d bytes", ErrUnpack, maxTextBytes)
 	}
 	return string(text), nil
 }
--- a/internal/replicator/proposer.go
+++ b/internal/replicator/proposer.go
@@ -72,7 +72,7 @@
 }
 
 // Proposer reads and changes the register on behalf of one node. Its methods are safe for concurrent use,
-// except for Tell.
+// except for SetRoundObserver.
 type Proposer struct {
 	clock     timekeeper.Clock
 	name      string
@@ -111,22 +111,22 @@
 	Took time.Duration
 }
 
-// Tell sets the function that is called after each round. It must be called before the first round.
-func (p *Proposer) Tell(observer func(Round)) {
+// SetRoundObserver sets the function that is called after each round. It must be called before the first round.
+func (p *Proposer) SetRoundObserver(observer func(Round)) {
 	p.roundObserver = observer
 }
 
-// Follow sets the replicas to those of a value that is in force.
-func (p *Proposer) Follow(replicas []Replica) {
+// SetConfirmedReplicas sets the replicas to those of a value that is in force.
+func (p *Proposer) SetConfirmedReplicas(replicas []Replica) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.replicas = slices.Clone(replicas)
 	p.replicasConfirmed = true
 }
 
-// Suppose sets the replicas to start from, taken from a value that is not known to be chosen. Reads then run
-// a round.
-func (p *Proposer) Suppose(replicas []Replica) {
+// SetUnconfirmedReplicas sets the replicas to start from, taken from a value that is not known to be chosen. Reads then
+// run a round.
+func (p *Proposer) SetUnconfirmedReplicas(replicas []Replica) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.replicas = slices.Clone(replicas)
--- a/internal/replicator/reconfiguration_test.go
+++ b/internal/replicator/reconfiguration_test.go
@@ -25,7 +25,7 @@
 		wg.Go(func() {
 			p := NewProposer(c.proposer("x", nil).clock, fmt.Sprintf("p%d", i), c)
 			for {
-				value, err := p.Form(context.Background(), founders)
+				value, err := p.CreateEmpty(context.Background(), founders)
 				if err == nil {
 					deployments[i] = value.Deployment
 					return
@@ -49,11 +49,11 @@
 		for j := range i {
 			c := newCluster(t, vms...)
 			p := c.proposer("p", nil)
-			formed, err := p.Form(context.Background(), c.replicas("a", "b", "c"))
+			created, err := p.CreateEmpty(context.Background(), c.replicas("a", "b", "c"))
 			if err != nil {
 				t.Fatal(err)
 			}
-			grown, err := p.Reconfigure(context.Background(), formed.Revision, c.replicas(vms...))
+			grown, err := p.Reconfigure(context.Background(), created.Revision, c.replicas(vms...))
 			if err != nil || len(grown.Replicas) != 5 || len(grown.Previous) != 0 {
 				t.Fatalf("extending to five replicas: %+v, %v", grown, err)
 			}
@@ -79,7 +79,7 @@
 func TestVersionsChosenByOperator(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	p := c.proposer("p", nil)
-	if _, err := p.Form(context.Background(), c.replicas("a", "b", "c")); err != nil {
+	if _, err := p.CreateEmpty(context.Background(), c.replicas("a", "b", "c")); err != nil {
 		t.Fatal(err)
 	}
 	apply := func(base, version uint64, id string) error {
@@ -241,11 +241,11 @@
 		rapid.Check(seeder.InBubble(t), func(rt *rapid.T) {
 			vms := []string{"a", "b", "c", "d", "e"}
 			m := &reconfigurationModel{usedVMs: vms, cluster: newCluster(t, vms...), texts: map[uint64]string{0: ""}}
-			formed, err := m.proposer("former", nil).Form(context.Background(), m.cluster.replicas("a", "b", "c"))
+			created, err := m.proposer("former", nil).CreateEmpty(context.Background(), m.cluster.replicas("a", "b", "c"))
 			if err != nil {
 				rt.Fatal(err)
 			}
-			m.replicas, m.revision = formed.Replicas, formed.Revision
+			m.replicas, m.revision = created.Replicas, created.Revision
 			m.reconfigure(rt, m.cluster.replicas(vms...))
 			rt.Repeat(map[string]func(*rapid.T){
 				"":        m.check,
--- a/internal/replicator/replicator_test.go
+++ b/internal/replicator/replicator_test.go
@@ -192,7 +192,7 @@
 
 func (c *cluster) proposer(name string, replicas []Replica) *Proposer {
 	p := NewProposer(timekeeper.System{}, name, c)
-	p.Follow(replicas)
+	p.SetConfirmedReplicas(replicas)
 	return p
 }
 
--- a/internal/replicator/value.go
+++ b/internal/replicator/value.go
@@ -62,7 +62,7 @@
 	return json.Marshal(wire)
 }
 
-// UnmarshalJSON implements json.Unmarshaler. The error wraps ErrPacked if the text can't be
+// UnmarshalJSON implements json.Unmarshaler. The error wraps ErrUnpack if the text can't be
 // decompressed.
 func (v *Value) UnmarshalJSON(data []byte) error {
 	var wire wireValue
