--- a/internal/maintainer/maintainer.go
+++ b/internal/maintainer/maintainer.go
@@ -20,8 +20,8 @@
 	// Gone is true if the node has left or is believed dead.
 	Gone bool
 	Name string
-	// Since is how long the node has been in its current state.
-	Since time.Duration
+	// StateAge is how long the node has been in its current state.
+	StateAge time.Duration
 }
 
 // View is the information from which a node decides.
@@ -29,20 +29,20 @@
 	Candidates []Candidate
 	// Replicas is the set in force.
 	Replicas []replicator.Replica
-	// Settled is true if the node has run long enough to know all other nodes.
-	Settled bool
-	// Wanted is the number of replicas that is needed to survive the tolerated losses.
-	Wanted int
+	// KnowsAllNodes is true if the node has run long enough to know all other nodes.
+	KnowsAllNodes bool
+	// TargetReplicas is the number of replicas that is needed to survive the tolerated losses.
+	TargetReplicas int
 }
 
 // Next returns the set of replicas that should replace the one in force, and whether the two differ. A replica
-// whose node has another disk now moves to that disk. Further nodes are added up to the wanted number. After
+// whose node has another disk now moves to that disk. Further nodes are added up to TargetReplicas. After
 // that, a replica whose node is gone is replaced with a live node that holds no replica, if there is one.
 func Next(view View) ([]replicator.Replica, bool) {
 	next := slices.Clone(view.Replicas)
 	changed := replaceDisks(next, view.Candidates)
 	for _, candidate := range spareReplicas(next, view.Candidates) {
-		if len(next) < view.Wanted {
+		if len(next) < view.TargetReplicas {
 			next = append(next, candidate)
 			changed = true
 			continue
@@ -89,16 +89,16 @@
 	return slices.IndexFunc(replicas, func(replica replicator.Replica) bool {
 		i := slices.IndexFunc(view.Candidates, func(c Candidate) bool { return c.Name == replica.VM })
 		if i < 0 {
-			return view.Settled
+			return view.KnowsAllNodes
 		}
-		return view.Candidates[i].Gone && view.Candidates[i].Since >= replacementDelay
+		return view.Candidates[i].Gone && view.Candidates[i].StateAge >= replacementDelay
 	})
 }
 
-// Acts reports whether the node self should make a change that has been due for the time waited. The live replicas
+// ShouldAct reports whether the node self should make a change that has been due for the time waited. The live replicas
 // take turns in the order of their names: the first acts at once, each further one turnInterval later if the
 // change is still due.
-func Acts(view View, self string, waited time.Duration) bool {
+func ShouldAct(view View, self string, waited time.Duration) bool {
 	var live []string
 	for _, replica := range view.Replicas {
 		for _, candidate := range view.Candidates {
--- a/internal/maintainer/maintainer_test.go
+++ b/internal/maintainer/maintainer_test.go
@@ -14,7 +14,7 @@
 )
 
 // TestNext checks Next against the views in testdata. A view lists the replicas as vm/disk, the nodes as vm/disk with
-// their state, the wanted number of replicas, and the expected set, or "keep" if it should not change.
+// their state, the target number of replicas, and the expected set, or "keep" if it should not change.
 func TestNext(t *testing.T) {
 	archive, err := txtar.ParseFile(filepath.Join("testdata", "views.txtar"))
 	if err != nil {
@@ -37,7 +37,7 @@
 
 func parseView(t *testing.T, text string) (view View, want string) {
 	t.Helper()
-	view.Settled = true
+	view.KnowsAllNodes = true
 	for line := range strings.Lines(text) {
 		key, rest, _ := strings.Cut(strings.TrimSpace(line), ": ")
 		switch key {
@@ -55,9 +55,9 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			view.Wanted = count
+			view.TargetReplicas = count
 		case "settled":
-			view.Settled = rest == "yes"
+			view.KnowsAllNodes = rest == "yes"
 		case "next":
 			want = rest
 		default:
@@ -71,13 +71,13 @@
 func parseCandidate(t *testing.T, word string) Candidate {
 	t.Helper()
 	parts := strings.Split(word, "/")
-	candidate := Candidate{DiskID: parts[1], Name: parts[0], Since: time.Hour}
+	candidate := Candidate{DiskID: parts[1], Name: parts[0], StateAge: time.Hour}
 	if len(parts) > 2 {
-		since, err := time.ParseDuration(strings.TrimPrefix(parts[2], "gone:"))
+		stateAge, err := time.ParseDuration(strings.TrimPrefix(parts[2], "gone:"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		candidate.Gone, candidate.Since = true, since
+		candidate.Gone, candidate.StateAge = true, stateAge
 	}
 	return candidate
 }
@@ -90,9 +90,9 @@
 	return strings.Join(words, " ")
 }
 
-// TestActsInOrderOfNames checks that the live replicas take turns in the order of their names and that gone nodes and
-// nodes without a replica never act.
-func TestActsInOrderOfNames(t *testing.T) {
+// TestShouldActInOrderOfNames checks that the live replicas take turns in the order of their names and that gone nodes
+// and nodes without a replica never act.
+func TestShouldActInOrderOfNames(t *testing.T) {
 	view := View{
 		Candidates: []Candidate{{Name: "a", Gone: true}, {Name: "b"}, {Name: "c"}, {Name: "d"}},
 		Replicas:   []replicator.Replica{{VM: "c"}, {VM: "b"}, {VM: "a"}},
@@ -109,7 +109,7 @@
 		{"d", time.Hour, false},
 	}
 	for _, test := range tests {
-		if got := Acts(view, test.self, test.waited); got != test.want {
+		if got := ShouldAct(view, test.self, test.waited); got != test.want {
 			t.Errorf("node %s after %s: got %t", test.self, test.waited, got)
 		}
 	}
--- a/internal/relayer/maintain.go
+++ b/internal/relayer/maintain.go
@@ -48,7 +48,7 @@
 		if waitingSince.IsZero() {
 			waitingSince = now
 		}
-		if maintainer.Acts(view, n.settings.Name, now.Sub(waitingSince)) {
+		if maintainer.ShouldAct(view, n.settings.Name, now.Sub(waitingSince)) {
 			n.reconfigure(roundCtx, replicas)
 		}
 	})
@@ -56,22 +56,22 @@
 
 func (n *Node) maintainerView() maintainer.View {
 	view := maintainer.View{
-		Replicas: n.register.Local().Replicas,
-		Settled:  n.clock.Now().Sub(n.started) > membershipSettleTime,
-		Wanted:   n.wantedReplicas(),
+		Replicas:       n.register.Local().Replicas,
+		KnowsAllNodes:  n.clock.Now().Sub(n.started) > membershipSettleTime,
+		TargetReplicas: n.targetReplicas(),
 	}
 	for _, record := range n.gossiper.Records() {
 		if record.DiskID != "" {
 			view.Candidates = append(view.Candidates, maintainer.Candidate{
-				DiskID: record.DiskID, Gone: record.Status >= gossiper.StatusDead, Name: record.Name, Since: record.Age,
+				DiskID: record.DiskID, Gone: record.Status >= gossiper.StatusDead, Name: record.Name, StateAge: record.Age,
 			})
 		}
 	}
 	return view
 }
 
-// wantedReplicas returns the number of replicas of which a majority survives the tolerated losses.
-func (n *Node) wantedReplicas() int {
+// targetReplicas returns the number of replicas of which a majority survives the tolerated losses.
+func (n *Node) targetReplicas() int {
 	return 2*n.settings.ToleratedLosses + 1
 }
 
@@ -143,7 +143,7 @@
 	if local == nil {
 		return false
 	}
-	if len(local.Replicas) >= n.wantedReplicas() {
+	if len(local.Replicas) >= n.targetReplicas() {
 		return true
 	}
 	return formingTimedOut(n.maintainerView(), n.clock.Now().Sub(n.started))
