--- a/internal/relayer/repeatlimits.go
+++ b/internal/relayer/repeatlimits.go
@@ -28,7 +28,7 @@
 	}
 	service := n.service()
 	limits := budgeter.RepeatLimits{
-		Ratio: ratioFraction * document.RetryRatioOf(service), Share: defaultSlackShare, Window: document.Budgets.RetryWindow.Std(),
+		Ratio: ratioFraction * document.ServiceRetryRatio(service), Share: defaultSlackShare, Window: document.Budgets.RetryWindow.Std(),
 	}
 	if limits.Window == 0 {
 		limits.Window = defaultRepeatWindow
@@ -46,5 +46,5 @@
 	if current == nil {
 		return 0
 	}
-	return current.RatioOf(neighbour)
+	return current.NeighbourRetryRatio(neighbour)
 }
--- a/internal/validator/document.go
+++ b/internal/validator/document.go
@@ -138,14 +138,14 @@
 	return found.Neighbour
 }
 
-// RetryRatioOf returns the retry ratio of the neighbour that the service belongs to, in retries per first try.
-func (d *Document) RetryRatioOf(service string) float64 {
+// ServiceRetryRatio returns the retry ratio of the neighbour that the service belongs to, in retries per first try.
+func (d *Document) ServiceRetryRatio(service string) float64 {
 	found, _ := d.ServiceNamed(service)
-	return d.RatioOf(found.Neighbour)
+	return d.NeighbourRetryRatio(found.Neighbour)
 }
 
-// RatioOf returns the retry ratio of a neighbour, or zero if there is no such neighbour.
-func (d *Document) RatioOf(neighbour string) float64 {
+// NeighbourRetryRatio returns the retry ratio of a neighbour, or zero if there is no such neighbour.
+func (d *Document) NeighbourRetryRatio(neighbour string) float64 {
 	for i := range d.Neighbours {
 		if d.Neighbours[i].Name == neighbour {
 			return d.Neighbours[i].RetryRatio
