--- a/internal/cmd/nodecmd.go
+++ b/internal/cmd/nodecmd.go
@@ -48,7 +48,7 @@
 		return err
 	}
 	if document != nil {
-		node.Preset(document)
+		node.SetInitialDocument(document)
 	}
 	if err := node.Start(); err != nil {
 		return err
--- a/internal/cmd/script_test.go
+++ b/internal/cmd/script_test.go
@@ -177,10 +177,10 @@
 	newest := uint64(0)
 	for time.Now().Before(deadline) {
 		if status, err := nodeStatus(args[1]); err == nil {
-			if status.Version < newest {
-				ts.Fatalf("version %d after %d", status.Version, newest)
+			if status.DocumentVersion < newest {
+				ts.Fatalf("version %d after %d", status.DocumentVersion, newest)
 			}
-			newest = status.Version
+			newest = status.DocumentVersion
 			if newest == want {
 				return
 			}
--- a/internal/cmd/soak_operator_test.go
+++ b/internal/cmd/soak_operator_test.go
@@ -110,7 +110,7 @@
 			if err != nil {
 				continue
 			}
-			now, before := seen{status.Incarnation, status.Version}, newest[place.name]
+			now, before := seen{status.Incarnation, status.DocumentVersion}, newest[place.name]
 			if now.incarnation == before.incarnation && now.version < before.version {
 				o.t.Errorf("seed %d: %s went from version %d to %d", *soakSeed, place.name, before.version, now.version)
 			}
@@ -126,7 +126,7 @@
 		deadline := time.Now().Add(awaitTime)
 		for {
 			status, err := nodeStatus(place.admin.String())
-			if err == nil && status.Version == o.acknowledged {
+			if err == nil && status.DocumentVersion == o.acknowledged {
 				break
 			}
 			if time.Now().After(deadline) {
--- a/internal/cmd/statuscmd.go
+++ b/internal/cmd/statuscmd.go
@@ -107,7 +107,7 @@
 
 func printStatus(out io.Writer, status *relayer.Status) {
 	load := status.Executor.Load
-	_, _ = fmt.Fprintf(out, "node %s, document version %d\n", status.Name, status.Version)
+	_, _ = fmt.Fprintf(out, "node %s, document version %d\n", status.Name, status.DocumentVersion)
 	if status.DiskID != "" {
 		_, _ = fmt.Fprintf(out, "control replica, disk id %s\n", status.DiskID)
 	}
--- a/internal/demonstrator/deployment.go
+++ b/internal/demonstrator/deployment.go
@@ -149,7 +149,7 @@
 		return err
 	}
 	if d.document != nil {
-		node.Preset(d.document)
+		node.SetInitialDocument(d.document)
 	}
 	if err := node.Start(); err != nil {
 		return err
--- a/internal/relayer/activation_test.go
+++ b/internal/relayer/activation_test.go
@@ -61,9 +61,9 @@
 	tb.Helper()
 	started := time.Now()
 	for _, station := range d.Stations() {
-		for station.Node.Status().Version < version {
+		for station.Node.Status().DocumentVersion < version {
 			if time.Since(started) > activationBound {
-				tb.Fatalf("%s has version %d after %s", station.Place.Name, station.Node.Status().Version, activationBound)
+				tb.Fatalf("%s has version %d after %s", station.Place.Name, station.Node.Status().DocumentVersion, activationBound)
 			}
 			time.Sleep(time.Millisecond)
 		}
--- a/internal/relayer/admin.go
+++ b/internal/relayer/admin.go
@@ -13,25 +13,25 @@
 type Status struct {
 	Accounts []executor.AccountStatus `json:"accounts"`
 	// DiskID is set only on a control replica.
-	DiskID      string            `json:"disk-id,omitempty"`
-	Executor    executor.Status   `json:"executor"`
-	Hints       hintreader.Hints  `json:"hints"`
-	Incarnation uint64            `json:"incarnation"`
-	Members     []gossiper.Member `json:"members"`
-	Name        string            `json:"name"`
-	Version     uint64            `json:"document-version"`
+	DiskID          string            `json:"disk-id,omitempty"`
+	Executor        executor.Status   `json:"executor"`
+	Hints           hintreader.Hints  `json:"hints"`
+	Incarnation     uint64            `json:"incarnation"`
+	Members         []gossiper.Member `json:"members"`
+	Name            string            `json:"name"`
+	DocumentVersion uint64            `json:"document-version"`
 }
 
 // Status returns a snapshot of the node.
 func (n *Node) Status() Status {
 	status := Status{
-		Accounts:    n.executor.Accounts(),
-		Executor:    n.executor.Status(),
-		Hints:       n.hints.Current(),
-		Incarnation: n.incarnation,
-		Members:     n.gossiper.Members(),
-		Name:        n.settings.Name,
-		Version:     n.documentVersion(),
+		Accounts:        n.executor.Accounts(),
+		Executor:        n.executor.Status(),
+		Hints:           n.hints.Current(),
+		Incarnation:     n.incarnation,
+		Members:         n.gossiper.Members(),
+		Name:            n.settings.Name,
+		DocumentVersion: n.documentVersion(),
 	}
 	if n.register.acceptor != nil {
 		status.DiskID = n.register.acceptor.DiskID()
--- a/internal/relayer/document.go
+++ b/internal/relayer/document.go
@@ -13,8 +13,8 @@
 	value *replicator.Value
 }
 
-// Preset puts a document in force until the register has one. It does nothing if one is already in force.
-func (n *Node) Preset(document *validator.Document) {
+// SetInitialDocument puts a document in force until the register has one. It does nothing if one is already in force.
+func (n *Node) SetInitialDocument(document *validator.Document) {
 	n.activate(document, nil)
 }
 
--- a/internal/relayer/forming_test.go
+++ b/internal/relayer/forming_test.go
@@ -121,7 +121,7 @@
 func (c *formingCluster) awaitVersionEverywhere(version uint64) {
 	c.t.Helper()
 	for _, node := range c.nodes {
-		c.await(fmt.Sprintf("version %d at %s", version, node.settings.Name), func() bool { return node.Status().Version == version })
+		c.await(fmt.Sprintf("version %d at %s", version, node.settings.Name), func() bool { return node.Status().DocumentVersion == version })
 	}
 }
 
--- a/internal/relayer/virtual_test.go
+++ b/internal/relayer/virtual_test.go
@@ -115,7 +115,7 @@
 	node.dispatcher.Sender = v
 	node.executor.Sender, node.executor.Links, node.executor.Upstream = v, v, v
 	node.executor.Siblings = v
-	node.Preset(d.document)
+	node.SetInitialDocument(d.document)
 	node.upstreamAnnounced(announcer.Announcement{
 		Address: "127.0.0.1:1", Instance: v.instance(), Service: service, Slots: virtualSlots, State: announcer.StateReady,
 	})
