--- a/internal/cmd/soak_operator_test.go
+++ b/internal/cmd/soak_operator_test.go
@@ -113,7 +113,7 @@
 			if err != nil {
 				continue
 			}
-			now, before := observation{status.Incarnation, status.Version}, newest[node.name]
+			now, before := observation{status.Incarnation, status.DocumentVersion}, newest[node.name]
 			if now.incarnation == before.incarnation && now.version < before.version {
 				o.t.Errorf("seed %d: %s went from version %d to %d", *soakSeed, node.name, before.version, now.version)
 			}
@@ -129,7 +129,7 @@
 		deadline := time.Now().Add(awaitTimeout)
 		for {
 			status, err := nodeStatus(node.admin.String())
-			if err == nil && status.Version == o.acknowledged {
+			if err == nil && status.DocumentVersion == o.acknowledged {
 				break
 			}
 			if time.Now().After(deadline) {
--- a/internal/cmd/statuscmd.go
+++ b/internal/cmd/statuscmd.go
@@ -110,7 +110,7 @@
 // printStatus writes the status as text for operators.
 func printStatus(out io.Writer, status *relayer.Status) {
 	load := status.Executor.Load
-	_, _ = fmt.Fprintf(out, "node %s, document version %d\n", status.Name, status.Version)
+	_, _ = fmt.Fprintf(out, "node %s, document version %d\n", status.Name, status.DocumentVersion)
 	if status.DiskID != "" {
 		_, _ = fmt.Fprintf(out, "control replica, disk id %s\n", status.DiskID)
 	}
@@ -123,6 +123,6 @@
 	}
 	_ = table.Flush()
 	for _, account := range status.Accounts {
-		_, _ = fmt.Fprintf(out, "account %s %s: %s of slot-time\n", account.Rank, account.Neighbour, account.Taken)
+		_, _ = fmt.Fprintf(out, "account %s %s: %s of slot-time\n", account.Rank, account.Neighbour, account.SlotTime)
 	}
 }
--- a/internal/executor/executor.go
+++ b/internal/executor/executor.go
@@ -47,12 +47,12 @@
 // Siblings selects and looks up the other nodes of a service. Nodes named in exclude are not selected;
 // the result is false where there is no such node.
 type Siblings interface {
-	// HandOn selects a node for an attempt that found no free slot here.
-	HandOn(service string, exclude []string) (gossiper.Member, bool)
+	// PickForHandOff selects a node for an attempt that found no free slot here.
+	PickForHandOff(service string, exclude []string) (gossiper.Member, bool)
 	// Member returns the node with the name.
 	Member(name string) (gossiper.Member, bool)
-	// Reservation selects a node to place a reservation with.
-	Reservation(service string, exclude []string) (gossiper.Member, bool)
+	// PickForReservation selects a node to place a reservation with.
+	PickForReservation(service string, exclude []string) (gossiper.Member, bool)
 }
 
 // Links sends the messages of late binding, crash reports and load notices to other nodes.
@@ -62,10 +62,10 @@
 	// ReportCrash reports a crash to the other nodes of the service. It returns when they have replied
 	// or a short timeout has passed.
 	ReportCrash(ctx context.Context, crash quarantiner.Crash)
-	// ReportInnocent reports to the other nodes of the service that a request has run without a crash.
-	ReportInnocent(ctx context.Context, acquittal quarantiner.Acquittal)
-	// TellLoad sends the upstream's current load to the entry nodes.
-	TellLoad(entries []string, load carrier.Load)
+	// ReportCleared reports to the other nodes of the service that a request has run without a crash.
+	ReportCleared(ctx context.Context, cleared quarantiner.ClearedSuspect)
+	// SendLoad sends the upstream's current load to the entry nodes.
+	SendLoad(entries []string, load carrier.Load)
 	// Reserve places a reservation with a sibling.
 	Reserve(ctx context.Context, to gossiper.Member, request ReserveRequest) error
 }
@@ -102,43 +102,43 @@
 // usefulUntil returns the latest start time at which the answer still comes in time, for an attempt that
 // arrived at the given time; zero where it is not known.
 func (x *Execution) usefulUntil(arrived time.Time) time.Time {
-	if x.Attempt.Useful == 0 {
+	if x.Attempt.UsefulWait == 0 {
 		return time.Time{}
 	}
-	return arrived.Add(x.Attempt.Useful)
+	return arrived.Add(x.Attempt.UsefulWait)
 }
 
 // Config holds the dependencies of an Executor.
 type Config struct {
-	// Attempted is called for each attempt that has ended at this node, except one that the recorder rejects
+	// OnAttemptEnd is called for each attempt that has ended at this node, except one that the recorder rejects
 	// as a duplicate or barred; it can be nil.
-	Attempted func(x *Execution, outcome *carrier.Outcome, seen Seen)
+	OnAttemptEnd func(x *Execution, outcome *carrier.Outcome, snapshot UpstreamSnapshot)
 	// Bytes is the byte budget for reservations.
 	Bytes *budgeter.Bytes
 	Clock timekeeper.Clock
 	Links Links
 	Meter *meter.Meter
 	Name  string
-	// OnDown is called with the upstream's instance when its process is gone.
-	OnDown      func(instance string)
-	Quarantiner *quarantiner.Quarantiner
-	Recorder    *recorder.Recorder
+	// OnUpstreamDown is called with the upstream's instance when its process is gone.
+	OnUpstreamDown func(instance string)
+	Quarantiner    *quarantiner.Quarantiner
+	Recorder       *recorder.Recorder
 	// Repeats limits how many repeated requests reach the upstream.
 	Repeats  *budgeter.Repeats
 	Sender   Sender
 	Siblings Siblings
-	// Stamp adds the context to a request that the upstream propagates to its own calls.
-	Stamp    func(a *carrier.Attempt, req *fasthttp.Request, instance string, deadline time.Time)
-	Upstream Upstream
+	// AddContext adds the context to a request that the upstream propagates to its own calls.
+	AddContext func(a *carrier.Attempt, req *fasthttp.Request, instance string, deadline time.Time)
+	Upstream   Upstream
 }
 
 // Executor admits attempts, queues them and runs them at the upstream. It is safe for concurrent use.
 type Executor struct {
 	Config
 
-	document atomic.Pointer[validator.Document]
-	draining atomic.Bool
-	proven   *quarantiner.Proven
+	document         atomic.Pointer[validator.Document]
+	draining         atomic.Bool
+	safeFingerprints *quarantiner.SafeFingerprints
 
 	mu           sync.Mutex
 	announcement announcer.Announcement
@@ -153,17 +153,17 @@
 	retrySpent   map[string]time.Time
 }
 
-// New returns an executor whose upstream is gone until Announced is called.
+// New returns an executor whose upstream is gone until HandleAnnouncement is called.
 func New(config Config) *Executor {
 	return &Executor{
-		Config:       config,
-		announcement: announcer.Announcement{State: announcer.StateGone},
-		grants:       make(map[uint64]*scheduler.Waiter),
-		inFlight:     make(map[*Execution]quarantiner.Fingerprint),
-		limit:        limiter.New(1),
-		proven:       quarantiner.NewProven(),
-		schedule:     scheduler.New(0, scheduler.Config{}),
-		retrySpent:   make(map[string]time.Time),
+		Config:           config,
+		announcement:     announcer.Announcement{State: announcer.StateGone},
+		grants:           make(map[uint64]*scheduler.Waiter),
+		inFlight:         make(map[*Execution]quarantiner.Fingerprint),
+		limit:            limiter.New(1),
+		safeFingerprints: quarantiner.NewSafeFingerprints(),
+		schedule:         scheduler.New(0, scheduler.Config{}),
+		retrySpent:       make(map[string]time.Time),
 	}
 }
 
@@ -185,10 +185,10 @@
 	e.schedule.Configure(config)
 }
 
-// Announced applies the newest announcement of the upstream. A new service refuses all queued requests and
+// HandleAnnouncement applies the newest announcement of the upstream. A new service refuses all queued requests and
 // resets the limit and the repeat budget; a new instance resets the load report. An instance that is new or
 // becomes ready restarts the limiter. Announcements are ignored after Drain.
-func (e *Executor) Announced(a announcer.Announcement) {
+func (e *Executor) HandleAnnouncement(a announcer.Announcement) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.draining.Load() {
@@ -277,7 +277,7 @@
 type AccountStatus struct {
 	Neighbour string        `json:"neighbour"`
 	Rank      string        `json:"rank"`
-	Taken     time.Duration `json:"taken"`
+	SlotTime  time.Duration `json:"taken"`
 }
 
 // Accounts returns the slot-time used by each rank and neighbour. The rank's name is empty where the
@@ -288,7 +288,7 @@
 	defer e.mu.Unlock()
 	var accounts []AccountStatus
 	for _, account := range e.schedule.Accounts() {
-		status := AccountStatus{Neighbour: account.Class.Neighbour, Taken: account.SlotTime}
+		status := AccountStatus{Neighbour: account.Class.Neighbour, SlotTime: account.SlotTime}
 		if document != nil && account.Class.Rank < len(document.Ranks) {
 			status.Rank = document.Ranks[account.Class.Rank].Name
 		}
@@ -299,12 +299,12 @@
 
 func (e *Executor) currentLoad() carrier.Load {
 	return carrier.Load{
-		Best:     e.limit.BestFraction(),
-		Latency:  e.limit.Latency(),
-		Queued:   e.schedule.Queued(),
-		Running:  e.schedule.Running(),
-		Slots:    e.schedule.Slots(),
-		Slowdown: e.load.slowdown,
+		BestSlotFraction: e.limit.BestFraction(),
+		Latency:          e.limit.Latency(),
+		Queued:           e.schedule.Queued(),
+		Running:          e.schedule.Running(),
+		Slots:            e.schedule.Slots(),
+		Slowdown:         e.load.slowdown,
 	}
 }
 
@@ -315,7 +315,7 @@
 	x.requestArrived = started.Add(-x.Attempt.Age)
 	if refusal := e.precheck(x); refusal != nil {
 		outcome := e.refusedOutcome(refusal)
-		e.notifyAttempted(x, &outcome, started)
+		e.notifyAttemptEnd(x, &outcome, started)
 		return outcome
 	}
 	id := x.Attempt.ID()
@@ -328,38 +328,38 @@
 	e.mu.Lock()
 	outcome.Load = e.currentLoad()
 	if _, ok := e.retrySpent[x.Attempt.Call]; ok {
-		outcome.Spent = true
+		outcome.RetrySpent = true
 	}
 	e.mu.Unlock()
 	e.recordOutcome(id, x, outcome)
-	e.notifyAttempted(x, &outcome, started)
+	e.notifyAttemptEnd(x, &outcome, started)
 	return outcome
 }
 
-// Seen is the state of the upstream, as known to the executor, when an attempt ended.
-type Seen struct {
+// UpstreamSnapshot is the state of the upstream, as known to the executor, when an attempt ended.
+type UpstreamSnapshot struct {
 	Instance string
 	// LoadAge is the age of the upstream's last load report.
 	LoadAge  time.Duration
 	Queued   int
 	Running  int
 	Slowdown float64
-	// Took is the time since the attempt arrived.
-	Took time.Duration
+	// Elapsed is the time since the attempt arrived.
+	Elapsed time.Duration
 }
 
-func (e *Executor) notifyAttempted(x *Execution, outcome *carrier.Outcome, started time.Time) {
-	if e.Attempted == nil {
+func (e *Executor) notifyAttemptEnd(x *Execution, outcome *carrier.Outcome, started time.Time) {
+	if e.OnAttemptEnd == nil {
 		return
 	}
 	now := e.Clock.Now()
 	e.mu.Lock()
-	seen := Seen{
+	snapshot := UpstreamSnapshot{
 		Instance: e.announcement.Instance, LoadAge: now.Sub(e.load.receivedAt), Queued: e.schedule.Queued(),
-		Running: e.schedule.Running(), Slowdown: e.load.slowdown, Took: now.Sub(started),
+		Running: e.schedule.Running(), Slowdown: e.load.slowdown, Elapsed: now.Sub(started),
 	}
 	e.mu.Unlock()
-	e.Attempted(x, outcome, seen)
+	e.OnAttemptEnd(x, outcome, snapshot)
 }
 
 // recordOutcome stores the outcome of a non-idempotent attempt for a sender that lost its connection. It drops
@@ -369,11 +369,11 @@
 		e.Recorder.Forget(id)
 		return
 	}
-	sealed := fasthttp.AcquireResponse()
-	defer fasthttp.ReleaseResponse(sealed)
-	x.Response.CopyTo(sealed)
-	carrier.Seal(&x.Attempt, sealed, outcome)
-	e.Recorder.Finish(id, carrier.Pack(sealed))
+	stored := fasthttp.AcquireResponse()
+	defer fasthttp.ReleaseResponse(stored)
+	x.Response.CopyTo(stored)
+	carrier.WriteOutcome(&x.Attempt, stored, outcome)
+	e.Recorder.Finish(id, carrier.EncodeResponse(stored))
 }
 
 func (e *Executor) refusedOutcome(refusal *refuser.Refusal) carrier.Outcome {
@@ -410,7 +410,7 @@
 	if e.Quarantiner.IsEmpty() {
 		return nil
 	}
-	remaining := e.Quarantiner.Barred(e.fingerprint(x))
+	remaining := e.Quarantiner.QuarantineLeft(e.fingerprint(x))
 	if remaining <= 0 {
 		return nil
 	}
@@ -440,7 +440,7 @@
 	w := scheduler.NewWaiter(now, e.class(x), x.Deadline)
 	w.UsefulUntil = x.usefulUntil(now)
 	e.mu.Lock()
-	if x.Attempt.Optional && !e.canStartPromptly(x.Attempt.Relaxed) {
+	if x.Attempt.Optional && !e.canStartPromptly(x.Attempt.ToleratesSlow) {
 		e.mu.Unlock()
 		e.Meter.Event("handed_back")
 		return carrier.Outcome{Refusal: refuser.Later(refuser.ReasonBusy, sweepInterval, "the upstream is full or slow and the sender has another")}
@@ -452,7 +452,7 @@
 	if hasSlot {
 		return e.run(ctx, x, w)
 	}
-	if !x.Attempt.HandedOn && !overloaded {
+	if !x.Attempt.HandedOff && !overloaded {
 		if outcome, ok := e.handOff(ctx, x); ok {
 			return outcome
 		}
@@ -463,13 +463,13 @@
 // handOff sends the attempt to another node that Siblings selects. It reports false when there is none, or
 // when it has certainly not run the attempt and this node should queue it.
 func (e *Executor) handOff(ctx context.Context, x *Execution) (carrier.Outcome, bool) {
-	sibling, ok := e.Siblings.HandOn(x.Attempt.Service, []string{e.Name})
+	sibling, ok := e.Siblings.PickForHandOff(x.Attempt.Service, []string{e.Name})
 	if !ok {
 		return carrier.Outcome{}, false
 	}
 	e.Meter.Event("hand_ons")
 	a := x.Attempt
-	a.HandedOn = true
+	a.HandedOff = true
 	outcome := e.Sender.Send(ctx, sibling, a, x.Request, x.Response, x.Deadline)
 	if !outcome.IsNotRun() || outcome.Reached() {
 		return outcome, true
--- a/internal/executor/harness_test.go
+++ b/internal/executor/harness_test.go
@@ -77,22 +77,22 @@
 		m.slowdown.Store(1)
 		clock := timekeeper.System{}
 		m.Executor = New(Config{
-			Bytes:       budgeter.NewBytes(clock, rate),
-			Clock:       clock,
-			Links:       m,
-			Meter:       meter.New(),
-			Name:        m.name,
-			OnDown:      func(string) {},
-			Quarantiner: quarantiner.New(clock, nil),
-			Recorder:    recorder.New(clock),
-			Repeats:     budgeter.NewRepeats(clock, func() budgeter.RepeatLimits { return budgeter.RepeatLimits{Window: time.Second} }),
-			Sender:      m,
-			Siblings:    m,
-			Stamp:       func(*carrier.Attempt, *fasthttp.Request, string, time.Time) {},
-			Upstream:    m,
+			Bytes:          budgeter.NewBytes(clock, rate),
+			Clock:          clock,
+			Links:          m,
+			Meter:          meter.New(),
+			Name:           m.name,
+			OnUpstreamDown: func(string) {},
+			Quarantiner:    quarantiner.New(clock, nil),
+			Recorder:       recorder.New(clock),
+			Repeats:        budgeter.NewRepeats(clock, func() budgeter.RepeatLimits { return budgeter.RepeatLimits{Window: time.Second} }),
+			Sender:         m,
+			Siblings:       m,
+			AddContext:     func(*carrier.Attempt, *fasthttp.Request, string, time.Time) {},
+			Upstream:       m,
 		})
 		m.Configure(document)
-		m.Announced(announcer.Announcement{
+		m.HandleAnnouncement(announcer.Announcement{
 			Address: "127.0.0.1:1", Instance: m.name, Service: testService, Slots: testSlots, State: announcer.StateReady,
 		})
 		g.members = append(g.members, m)
@@ -197,7 +197,7 @@
 
 // Reserve implements Links.
 func (m *member) Reserve(_ context.Context, to gossiper.Member, request ReserveRequest) error {
-	m.Bytes.Book(reservationBytes)
+	m.Bytes.Charge(reservationBytes)
 	time.Sleep(m.group.networkDelay)
 	if target := m.group.memberByName(to.Name); !target.down.Load() && !m.group.isLost("reserve") {
 		target.Executor.Reserve(request)
@@ -214,15 +214,15 @@
 	}
 }
 
-// ReportInnocent implements Links.
-func (m *member) ReportInnocent(_ context.Context, acquittal quarantiner.Acquittal) {
+// ReportCleared implements Links.
+func (m *member) ReportCleared(_ context.Context, cleared quarantiner.ClearedSuspect) {
 	for _, other := range m.group.members {
-		other.Quarantiner.Clear(acquittal.Fingerprint)
+		other.Quarantiner.Clear(cleared.Fingerprint)
 	}
 }
 
-// TellLoad implements Links.
-func (m *member) TellLoad([]string, carrier.Load) {}
+// SendLoad implements Links.
+func (m *member) SendLoad([]string, carrier.Load) {}
 
 // Member implements Siblings.
 func (m *member) Member(name string) (gossiper.Member, bool) {
@@ -233,20 +233,20 @@
 	return gossiper.Member{Name: name, Service: testService, Slots: testSlots, Upstream: announcer.StateReady}
 }
 
-// HandOn implements Siblings.
-func (m *member) HandOn(service string, exclude []string) (gossiper.Member, bool) {
+// PickForHandOff implements Siblings.
+func (m *member) PickForHandOff(service string, exclude []string) (gossiper.Member, bool) {
 	if !m.group.lateBinding {
 		return gossiper.Member{}, false
 	}
-	return m.router.HandOn(service, exclude)
+	return m.router.PickForHandOff(service, exclude)
 }
 
-// Reservation implements Siblings.
-func (m *member) Reservation(service string, exclude []string) (gossiper.Member, bool) {
+// PickForReservation implements Siblings.
+func (m *member) PickForReservation(service string, exclude []string) (gossiper.Member, bool) {
 	if !m.group.lateBinding {
 		return gossiper.Member{}, false
 	}
-	return m.router.Reservation(service, exclude)
+	return m.router.PickForReservation(service, exclude)
 }
 
 // Do implements Upstream.
--- a/internal/executor/load.go
+++ b/internal/executor/load.go
@@ -22,9 +22,9 @@
 	slowdown   float64
 }
 
-// Report records a load report of the upstream. If the upstream is slow, the scheduler adds slowStall to the
+// UpdateLoad records a load report of the upstream. If the upstream is slow, the scheduler adds slowStall to the
 // expected waits at admission.
-func (e *Executor) Report(load interpreter.Load) {
+func (e *Executor) UpdateLoad(load interpreter.Load) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.load = loadReport{receivedAt: e.Clock.Now(), slowdown: load.Slowdown}
@@ -38,10 +38,10 @@
 	e.notifyPeers()
 }
 
-// SiblingSeen adopts the best number of slots that the node of another upstream of the same service has
+// AdoptSiblingLoad adopts the best number of slots that the node of another upstream of the same service has
 // learned. Loads without one and loads of other services are ignored.
-func (e *Executor) SiblingSeen(service string, load carrier.Load) {
-	if load.Best == 0 {
+func (e *Executor) AdoptSiblingLoad(service string, load carrier.Load) {
+	if load.BestSlotFraction == 0 {
 		return
 	}
 	e.mu.Lock()
@@ -49,25 +49,25 @@
 	if service != e.announcement.Service {
 		return
 	}
-	e.limit.Adopt(e.Clock.Now(), load.Best)
+	e.limit.Adopt(e.Clock.Now(), load.BestSlotFraction)
 	e.applyLimit()
 }
 
 // LoadAge returns the age of the newest load report, whether any request is running at the upstream, and
 // whether this instance of it has reported its load at all.
-func (e *Executor) LoadAge() (age time.Duration, running, reports bool) {
+func (e *Executor) LoadAge() (age time.Duration, running, reportsLoad bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.Clock.Now().Sub(e.load.receivedAt), len(e.inFlight) > 0, !e.load.receivedAt.IsZero()
 }
 
-// canStartPromptly reports whether a request could start at once and, unless it is relaxed, at an upstream
-// that is not slow. It is called with mu held.
-func (e *Executor) canStartPromptly(relaxed bool) bool {
+// canStartPromptly reports whether a request could start at once and, unless it tolerates a slow upstream, at
+// one that is not slow. It is called with mu held.
+func (e *Executor) canStartPromptly(toleratesSlow bool) bool {
 	if e.schedule.Queued() > 0 || e.schedule.Running() >= e.schedule.Slots() {
 		return false
 	}
-	return relaxed || !e.isSlow()
+	return toleratesSlow || !e.isSlow()
 }
 
 // isSlow reports whether a current load report says that the upstream is slow. It is called with mu held.
--- a/internal/executor/run.go
+++ b/internal/executor/run.go
@@ -52,11 +52,11 @@
 	out := &fasthttp.Request{}
 	x.Request.Header.CopyTo(&out.Header)
 	out.SetBodyRaw(x.Request.Body())
-	e.Stamp(&x.Attempt, out, atStart.instance, x.Deadline)
+	e.AddContext(&x.Attempt, out, atStart.instance, x.Deadline)
 	started := e.Clock.Now()
 	err := e.Upstream.Do(ctx, out, x.Response, x.Deadline)
-	used := e.Clock.Now().Sub(started)
-	outcome := carrier.Outcome{Arrived: !errors.Is(err, forwarder.ErrNotSent), Used: used}
+	upstreamTime := e.Clock.Now().Sub(started)
+	outcome := carrier.Outcome{Arrived: !errors.Is(err, forwarder.ErrNotSent), UpstreamTime: upstreamTime}
 	if outcome.Arrived {
 		e.Meter.Arrived(x.Attempt.Service, x.Attempt.Try.String())
 	} else {
@@ -71,7 +71,7 @@
 		e.clearSuspicion(x)
 	}
 	e.finishRun(x, w, limiter.Sample{
-		Class: x.Attempt.Rank, Latency: used, Result: e.classifyResult(x.Response, err), Running: atStart.running,
+		Class: x.Attempt.Rank, Latency: upstreamTime, Result: e.classifyResult(x.Response, err), Running: atStart.running,
 		Steady: err == nil && atStart.steady,
 	})
 	return outcome
@@ -83,12 +83,12 @@
 	e.mu.Lock()
 	fingerprint := e.inFlight[x]
 	e.mu.Unlock()
-	e.proven.Add(fingerprint)
+	e.safeFingerprints.Add(fingerprint)
 	if e.Quarantiner.IsEmpty() {
 		return
 	}
 	if e.Quarantiner.Clear(fingerprint) {
-		go e.Links.ReportInnocent(context.Background(), quarantiner.Acquittal{Fingerprint: fingerprint, Service: x.Attempt.Service})
+		go e.Links.ReportCleared(context.Background(), quarantiner.ClearedSuspect{Fingerprint: fingerprint, Service: x.Attempt.Service})
 	}
 }
 
@@ -172,13 +172,13 @@
 	switch {
 	case errors.Is(err, forwarder.ErrNotSent):
 		if errors.Is(err, syscall.ECONNREFUSED) {
-			e.OnDown(instance)
+			e.OnUpstreamDown(instance)
 		}
 		return refuser.New(refuser.ReasonNoUpstream, "the upstream takes no connection")
 	case errors.Is(err, ErrShed):
 		return refuser.Later(refuser.ReasonShed, sweepInterval, "the upstream has no room")
 	case errors.Is(err, ErrMisdirected):
-		e.OnDown(instance)
+		e.OnUpstreamDown(instance)
 		return refuser.New(refuser.ReasonNoUpstream, "another instance has the upstream's address")
 	case errors.Is(err, forwarder.ErrTimeout):
 		return refuser.Unknown(refuser.ReasonDeadline, "the upstream did not answer before the deadline")
@@ -216,7 +216,7 @@
 	}
 	crash := quarantiner.Crash{Instance: instance, Service: e.announcement.Service}
 	for _, fingerprint := range e.inFlight {
-		if !e.proven.Has(fingerprint) {
+		if !e.safeFingerprints.Has(fingerprint) {
 			crash.Fingerprints = append(crash.Fingerprints, fingerprint)
 		}
 	}
@@ -233,7 +233,7 @@
 		return
 	}
 	e.Meter.Event("upstream_crashes")
-	e.OnDown(instance)
+	e.OnUpstreamDown(instance)
 	if len(crash.Fingerprints) == 0 {
 		return
 	}
@@ -241,9 +241,9 @@
 	e.Links.ReportCrash(ctx, crash)
 }
 
-// Find returns the running attempt of a call, looked up by the call's id or by the request id that its
+// FindRunning returns the running attempt of a call, looked up by the call's id or by the request id that its
 // caller gave it. Empty ids match nothing.
-func (e *Executor) Find(call, request string) (carrier.Attempt, bool) {
+func (e *Executor) FindRunning(call, request string) (carrier.Attempt, bool) {
 	if call == "" && request == "" {
 		return carrier.Attempt{}, false
 	}
@@ -251,16 +251,16 @@
 	defer e.mu.Unlock()
 	for x := range e.inFlight {
 		a := &x.Attempt
-		if (call != "" && a.Call == call) || (request != "" && a.Request == request) {
+		if (call != "" && a.Call == call) || (request != "" && a.RequestID == request) {
 			return *a, true
 		}
 	}
 	return carrier.Attempt{}, false
 }
 
-// FailedBelow records that a call nested in the given one has finally failed. The outcome of the given call
+// RecordNestedFailure records that a call nested in the given one has finally failed. The outcome of the given call
 // says so, so that no caller above retries it again.
-func (e *Executor) FailedBelow(call string) {
+func (e *Executor) RecordNestedFailure(call string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.retrySpent[call] = e.Clock.Now().Add(retrySpentTTL)
--- a/internal/relayer/node.go
+++ b/internal/relayer/node.go
@@ -141,10 +141,10 @@
 	n.gossipBudget = budgeter.NewBytes(n.clock, gossipShare*defaultControlBytesPerSecond)
 	n.membershipBudget = budgeter.NewBytes(n.clock, membershipShare*defaultControlBytesPerSecond)
 	n.messenger = messenger.New(secrets.Key, controlByteMeter{n})
-	n.quarantiner = quarantiner.New(n.clock, n.requestBarred)
+	n.quarantiner = quarantiner.New(n.clock, n.requestQuarantined)
 	n.recorder = recorder.New(n.clock)
 	n.claimTable = claimer.NewTable(n.clock)
-	n.upstream = newLocalUpstream(n.clock, n.interpreter, func(load interpreter.Load) { n.executor.Report(load) },
+	n.upstream = newLocalUpstream(n.clock, n.interpreter, func(load interpreter.Load) { n.executor.UpdateLoad(load) },
 		forwarder.WithMaxBody(settings.MaxBodyBytes), forwarder.WithUnframed())
 	n.router = router.New(n.clock, newRandom(), n.policy, settings.Region, settings.DataCentre)
 	if err := n.buildRegister(); err != nil {
@@ -211,25 +211,25 @@
 	peers := &peerClient{
 		messenger: n.messenger, self: n.settings.Name, siblings: n.router.Members,
 		sendLoad: func(entries []string, load gossiper.Load) {
-			n.dispatcher.LoadSeen(n.settings.Name, loadFromGossip(load))
-			n.gossiper.TellLoad(entries, load)
+			n.dispatcher.HandleLoadReport(n.settings.Name, loadFromGossip(load))
+			n.gossiper.SendLoad(entries, load)
 		},
 	}
 	n.executor = executor.New(executor.Config{
-		Attempted:   n.attemptFinished,
-		Bytes:       n.bindingBudget,
-		Clock:       n.clock,
-		Links:       peers,
-		Meter:       n.meter,
-		Name:        n.settings.Name,
-		OnDown:      func(instance string) { n.registrar.Down(instance) },
-		Quarantiner: n.quarantiner,
-		Recorder:    n.recorder,
-		Repeats:     budgeter.NewRepeats(n.clock, n.repeatLimits),
-		Sender:      n.carrier,
-		Siblings:    &siblingDirectory{Router: n.router, gossiper: n.gossiper},
-		Stamp: func(a *carrier.Attempt, req *fasthttp.Request, instance string, deadline time.Time) {
-			carrier.Stamp(n.secrets.Key, a, req, deadline)
+		OnAttemptEnd:   n.attemptFinished,
+		Bytes:          n.bindingBudget,
+		Clock:          n.clock,
+		Links:          peers,
+		Meter:          n.meter,
+		Name:           n.settings.Name,
+		OnUpstreamDown: func(instance string) { n.registrar.MarkDown(instance) },
+		Quarantiner:    n.quarantiner,
+		Recorder:       n.recorder,
+		Repeats:        budgeter.NewRepeats(n.clock, n.repeatLimits),
+		Sender:         n.carrier,
+		Siblings:       &siblingDirectory{Router: n.router, gossiper: n.gossiper},
+		AddContext: func(a *carrier.Attempt, req *fasthttp.Request, instance string, deadline time.Time) {
+			carrier.WriteContext(n.secrets.Key, a, req, deadline)
 			n.interpreter.WriteHop(&req.Header, interpreter.Hop{
 				Caller: a.Caller, Instance: instance, Timeout: deadline.Sub(n.clock.Now()),
 			})
@@ -237,24 +237,24 @@
 		Upstream: n.upstream,
 	})
 	n.dispatcher = dispatcher.New(dispatcher.Config{
-		Caller:      n.service,
-		Claims:      claimer.New(n.clock, peers, n),
-		Clock:       n.clock,
-		FailedBelow: n.executor.FailedBelow,
-		Finished:    n.callFinished,
-		Hedged:      n.callHedged,
-		NotRetried:  n.retryRefused,
-		Interpreter: n.interpreter,
-		Meter:       n.meter,
-		Name:        sender,
-		OpenContext: func(req *fasthttp.Request) (carrier.Context, bool) {
-			return carrier.OpenContext(n.secrets.Key, req)
+		Caller:          n.service,
+		Claims:          claimer.New(n.clock, peers, n),
+		Clock:           n.clock,
+		OnNestedFailure: n.executor.RecordNestedFailure,
+		OnFinished:      n.callFinished,
+		OnHedge:         n.callHedged,
+		OnRetryRefused:  n.retryRefused,
+		Interpreter:     n.interpreter,
+		Meter:           n.meter,
+		Name:            sender,
+		ReadContext: func(req *fasthttp.Request) (carrier.Context, bool) {
+			return carrier.ReadContext(n.secrets.Key, req)
 		},
-		Runs:    n.executor,
-		Retries: budgeter.NewRetries(n.retryRatio),
-		Self:    n.settings.Name,
-		Sender:  &attemptSender{carrier: n.carrier, executor: n.executor, self: n.settings.Name},
-		Targets: &targetRouter{Router: n.router, node: n},
+		AttemptFinder: n.executor,
+		Retries:       budgeter.NewRetries(n.retryRatio),
+		Self:          n.settings.Name,
+		Sender:        &attemptSender{carrier: n.carrier, executor: n.executor, self: n.settings.Name},
+		Targets:       &targetRouter{Router: n.router, node: n},
 	})
 }
 
@@ -265,20 +265,20 @@
 	node *Node
 }
 
-// Learn implements dispatcher.Targets.
-func (t *targetRouter) Learn(name string, load carrier.Load, failed bool) {
-	t.Router.Learn(name, load, failed)
+// RecordCallEnd implements dispatcher.Targets.
+func (t *targetRouter) RecordCallEnd(name string, load carrier.Load, failed bool) {
+	t.Router.RecordCallEnd(name, load, failed)
 	t.node.reportSiblingLoad(name, load)
 }
 
 // reportSiblingLoad passes the load that another node reports to the executor, if that node has learned with which
 // part of its slots the upstream gets most done.
 func (n *Node) reportSiblingLoad(name string, load carrier.Load) {
-	if load.Best == 0 || name == n.settings.Name {
+	if load.BestSlotFraction == 0 || name == n.settings.Name {
 		return
 	}
 	if m, ok := n.gossiper.Member(name); ok {
-		n.executor.SiblingSeen(m.Service, load)
+		n.executor.AdoptSiblingLoad(m.Service, load)
 	}
 }
 
@@ -321,7 +321,7 @@
 func (n *Node) upstreamAnnounced(a announcer.Announcement) {
 	n.log.Info("The upstream changed.", "service", a.Service, "state", a.State, "slots", a.Slots, "address", a.Address)
 	n.upstream.reconnect(a)
-	n.executor.Announced(a)
+	n.executor.HandleAnnouncement(a)
 	n.gossiper.SetUpstream(a.Service, a.Slots, a.State)
 }
 
@@ -352,9 +352,9 @@
 	m.node.meter.Count(purpose, bytes)
 	switch purpose {
 	case messenger.PurposeBinding.String():
-		m.node.bindingBudget.Book(bytes)
+		m.node.bindingBudget.Charge(bytes)
 	case messenger.PurposeMembership.String():
-		m.node.membershipBudget.Book(bytes)
+		m.node.membershipBudget.Charge(bytes)
 	}
 }
 
@@ -364,7 +364,7 @@
 		return
 	}
 	n.meter.Count("gossip", len(datagram)+datagramHeaderBytes)
-	n.gossipBudget.Book(len(datagram) + datagramHeaderBytes)
+	n.gossipBudget.Charge(len(datagram) + datagramHeaderBytes)
 	// A failed send is treated like a lost datagram.
 	_, _ = n.udpConn.WriteToUDPAddrPort(datagram, to)
 }
@@ -386,7 +386,7 @@
 	for _, l := range n.requestListeners {
 		l.Abort()
 	}
-	n.tracker.Cut()
+	n.tracker.CloseAll()
 	n.messenger.Close()
 	n.carrier.Close()
 	n.register.close()
--- a/internal/relayer/peerclient.go
+++ b/internal/relayer/peerclient.go
@@ -29,7 +29,7 @@
 
 const crashReportTimeout = 200 * time.Millisecond
 
-// peerClient sends typed messages to other nodes. It implements executor.Links and claimer.Links.
+// peerClient sends typed messages to other nodes. It implements executor.Links and claimer.OwnerClient.
 type peerClient struct {
 	messenger *messenger.Messenger
 	self      string
@@ -55,32 +55,32 @@
 	c.callSiblings(crash.Service, methodCrash, crash)
 }
 
-// ReportInnocent implements executor.Links.
-func (c *peerClient) ReportInnocent(_ context.Context, acquittal quarantiner.Acquittal) {
-	c.callSiblings(acquittal.Service, methodInnocent, acquittal)
+// ReportCleared implements executor.Links.
+func (c *peerClient) ReportCleared(_ context.Context, cleared quarantiner.ClearedSuspect) {
+	c.callSiblings(cleared.Service, methodInnocent, cleared)
 }
 
-// TellLoad implements executor.Links.
-func (c *peerClient) TellLoad(entries []string, load carrier.Load) {
+// SendLoad implements executor.Links.
+func (c *peerClient) SendLoad(entries []string, load carrier.Load) {
 	c.sendLoad(entries, gossiper.Load{
-		Queued: load.Queued, Running: load.Running, Slots: load.Slots, Slowdown: int(100 * load.Slowdown),
-		Best: int(math.Round(100 * load.Best)),
+		Queued: load.Queued, Running: load.Running, Slots: load.Slots, SlowdownPercent: int(100 * load.Slowdown),
+		BestSlotsPercent: int(math.Round(100 * load.BestSlotFraction)),
 	})
 }
 
 // LoadSeen implements gossiper.Observer.
 func (n *Node) LoadSeen(from gossiper.Member, load gossiper.Load) {
 	n.log.Debug("The load of a node changed.", "member", from.Name, "running", load.Running,
-		"queued", load.Queued, "slots", load.Slots, "slowdown-percent", load.Slowdown)
+		"queued", load.Queued, "slots", load.Slots, "slowdown-percent", load.SlowdownPercent)
 	seen := loadFromGossip(load)
-	n.dispatcher.LoadSeen(from.Name, seen)
+	n.dispatcher.HandleLoadReport(from.Name, seen)
 	n.reportSiblingLoad(from.Name, seen)
 }
 
 func loadFromGossip(load gossiper.Load) carrier.Load {
 	return carrier.Load{
-		Queued: load.Queued, Running: load.Running, Slots: load.Slots, Slowdown: float64(load.Slowdown) / 100,
-		Best: float64(load.Best) / 100,
+		Queued: load.Queued, Running: load.Running, Slots: load.Slots, Slowdown: float64(load.SlowdownPercent) / 100,
+		BestSlotFraction: float64(load.BestSlotsPercent) / 100,
 	}
 }
 
@@ -102,19 +102,19 @@
 	calls.Wait()
 }
 
-// Claim implements claimer.Links.
+// Claim implements claimer.OwnerClient.
 func (c *peerClient) Claim(ctx context.Context, to gossiper.Member, claim claimer.Claim) (claimer.Record, error) {
 	var record claimer.Record
 	err := c.messenger.Call(ctx, to.Control, messenger.PurposeBinding, methodClaim, claim, &record)
 	return record, err
 }
 
-// Release implements claimer.Links.
+// Release implements claimer.OwnerClient.
 func (c *peerClient) Release(ctx context.Context, to gossiper.Member, claim claimer.Claim) error {
 	return c.messenger.Call(ctx, to.Control, messenger.PurposeBinding, methodRelease, claim, nil)
 }
 
-// Settle implements claimer.Links.
+// Settle implements claimer.OwnerClient.
 func (c *peerClient) Settle(ctx context.Context, to gossiper.Member, settlement claimer.Settlement) error {
 	return c.messenger.Call(ctx, to.Control, messenger.PurposeBinding, methodSettle, settlement, nil)
 }
@@ -159,7 +159,7 @@
 		n.quarantiner.Report(p)
 		return emptyMessage{}, nil
 	})
-	addHandler(m, methodInnocent, func(_ context.Context, p quarantiner.Acquittal) (emptyMessage, error) {
+	addHandler(m, methodInnocent, func(_ context.Context, p quarantiner.ClearedSuspect) (emptyMessage, error) {
 		n.log.Info("A suspect request ran without a crash.", "fingerprint", p.Fingerprint, "service", p.Service)
 		n.quarantiner.Clear(p.Fingerprint)
 		return emptyMessage{}, nil
@@ -177,6 +177,6 @@
 	})
 	addHandler(m, methodSync, func(_ context.Context, p syncRequest) (syncReply, error) {
 		n.gossiper.Merge(p.Members)
-		return syncReply{Digest: n.gossiper.Digest(), Members: n.gossiper.Differing(p.Digest)}, nil
+		return syncReply{Digest: n.gossiper.Digest(), Members: n.gossiper.DifferingMembers(p.Digest)}, nil
 	})
 }
--- a/internal/relayer/tasks.go
+++ b/internal/relayer/tasks.go
@@ -186,7 +186,7 @@
 func (n *Node) newServer(handler fasthttp.RequestHandler) *fasthttp.Server {
 	return &fasthttp.Server{
 		CloseOnShutdown:               true,
-		ConnState:                     n.tracker.Follow,
+		ConnState:                     n.tracker.OnConnState,
 		DisableHeaderNamesNormalizing: false,
 		ErrorHandler:                  n.serveError,
 		Handler:                       handler,
@@ -262,7 +262,7 @@
 		return err
 	}
 	n.gossiper.Merge(reply.Members)
-	missing := n.gossiper.Differing(reply.Digest)
+	missing := n.gossiper.DifferingMembers(reply.Digest)
 	if len(missing) == 0 {
 		return nil
 	}
--- a/internal/relayer/virtual_test.go
+++ b/internal/relayer/virtual_test.go
@@ -115,7 +115,7 @@
 	node.dispatcher.Sender = v
 	node.executor.Sender, node.executor.Links, node.executor.Upstream = v, v, v
 	node.executor.Siblings = v
-	node.Preset(d.document)
+	node.SetInitialDocument(d.document)
 	node.upstreamAnnounced(announcer.Announcement{
 		Address: "127.0.0.1:1", Instance: v.instance(), Service: service, Slots: virtualSlots, State: announcer.StateReady,
 	})
@@ -151,7 +151,7 @@
 
 // Send implements dispatcher.Sender and executor.Sender.
 func (v *virtualNode) Send(ctx context.Context, to gossiper.Member, a carrier.Attempt, req *fasthttp.Request, resp *fasthttp.Response, deadline time.Time) carrier.Outcome {
-	v.carrier.Name(&a)
+	v.carrier.AssignID(&a)
 	target := v.deployment.member(to.Name)
 	if target != v {
 		time.Sleep(virtualLatency)
@@ -182,19 +182,19 @@
 // ReportCrash implements executor.Links.
 func (v *virtualNode) ReportCrash(context.Context, quarantiner.Crash) {}
 
-// ReportInnocent implements executor.Links.
-func (v *virtualNode) ReportInnocent(context.Context, quarantiner.Acquittal) {}
+// ReportCleared implements executor.Links.
+func (v *virtualNode) ReportCleared(context.Context, quarantiner.ClearedSuspect) {}
 
-// TellLoad implements executor.Links.
-func (v *virtualNode) TellLoad(entries []string, load carrier.Load) {
+// SendLoad implements executor.Links.
+func (v *virtualNode) SendLoad(entries []string, load carrier.Load) {
 	for _, name := range entries {
-		time.AfterFunc(virtualLatency, func() { v.deployment.member(name).dispatcher.LoadSeen(v.name, load) })
+		time.AfterFunc(virtualLatency, func() { v.deployment.member(name).dispatcher.HandleLoadReport(v.name, load) })
 	}
 }
 
-// HandOn implements executor.Siblings.
-func (v *virtualNode) HandOn(service string, exclude []string) (gossiper.Member, bool) {
-	return v.router.HandOn(service, exclude)
+// PickForHandOff implements executor.Siblings.
+func (v *virtualNode) PickForHandOff(service string, exclude []string) (gossiper.Member, bool) {
+	return v.router.PickForHandOff(service, exclude)
 }
 
 // Member implements executor.Siblings.
@@ -202,9 +202,9 @@
 	return v.deployment.member(name).record(), true
 }
 
-// Reservation implements executor.Siblings.
-func (v *virtualNode) Reservation(service string, exclude []string) (gossiper.Member, bool) {
-	return v.router.Reservation(service, exclude)
+// PickForReservation implements executor.Siblings.
+func (v *virtualNode) PickForReservation(service string, exclude []string) (gossiper.Member, bool) {
+	return v.router.PickForReservation(service, exclude)
 }
 
 // Do implements executor.Upstream.
