--- a/internal/carrier/carrier.go
+++ b/internal/carrier/carrier.go
@@ -114,11 +114,11 @@
 	}
 	p := c.peer(to.Peer)
 	err := p.pool.Do(ctx, &forwarder.Exchange{
-		Deadline: deadline.Add(responseGrace),
-		Overdue:  c.overdueCheck(ctx, to, &a, p),
-		Patience: p.responseTime.timeout(),
-		Request:  out,
-		Response: resp,
+		Deadline:          deadline.Add(responseGrace),
+		OnOverdue:         c.overdueCheck(ctx, to, &a, p),
+		ExpectedFirstByte: p.responseTime.timeout(),
+		Request:           out,
+		Response:          resp,
 	})
 	if err == nil {
 		outcome, ok := readOutcome(&a, resp)
@@ -261,10 +261,10 @@
 	req.SetBody(body)
 	resp.Reset()
 	err = c.peer(to.Peer).pool.Do(ctx, &forwarder.Exchange{
-		Deadline: earlier(deadline, now.Add(resolveTimeout)),
-		Fresh:    true,
-		Request:  req,
-		Response: resp,
+		Deadline:      earlier(deadline, now.Add(resolveTimeout)),
+		NewConnection: true,
+		Request:       req,
+		Response:      resp,
 	})
 	if err != nil {
 		return "", Outcome{}, err
--- a/internal/cmd/statuscmd.go
+++ b/internal/cmd/statuscmd.go
@@ -64,10 +64,10 @@
 	}
 	resp := &fasthttp.Response{}
 	err := a.pool.Do(ctx, &forwarder.Exchange{
-		Deadline: time.Now().Add(adminTimeout),
-		Fresh:    true,
-		Request:  req,
-		Response: resp,
+		Deadline:      time.Now().Add(adminTimeout),
+		NewConnection: true,
+		Request:       req,
+		Response:      resp,
 	})
 	if err != nil {
 		return nil, withExitCode(ExitUnavailable, err)
--- a/internal/executor/run.go
+++ b/internal/executor/run.go
@@ -188,7 +188,7 @@
 		return refuser.Unknown(refuser.ReasonUpstreamFailed, "the upstream's answer belongs to another request or is not its own")
 	case errors.Is(err, forwarder.ErrTooLong):
 		return refuser.Unknown(refuser.ReasonUpstreamFailed, "the upstream's answer is too long")
-	case errors.Is(err, forwarder.ErrUnframed):
+	case errors.Is(err, forwarder.ErrNoLength):
 		return refuser.Unknown(refuser.ReasonUpstreamFailed, "the upstream's answer has no length")
 	default:
 		e.reportCrash(ctx, instance)
--- a/internal/forwarder/endless_response_test.go
+++ b/internal/forwarder/endless_response_test.go
@@ -81,7 +81,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			address, sent, done := serveEndless(t, test.prefix, test.repeated)
-			p := New(address, timekeeper.System{}, WithMaxBody(endlessMaxBody), WithUnframed())
+			p := New(address, timekeeper.System{}, WithMaxBody(endlessMaxBody), AcceptNoLength())
 			body, err := doRejectingOther(p, time.Minute)
 			if !errors.Is(err, ErrTooLong) && !errors.Is(err, ErrForeign) && !errors.Is(err, ErrLost) {
 				t.Errorf("got %v, body of %d bytes", err, len(body))
--- a/internal/forwarder/foreign_response_test.go
+++ b/internal/forwarder/foreign_response_test.go
@@ -92,7 +92,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			address, _ := serveRaw(t, response, test.afterResponse)
-			body, err := doAcceptingOwn(New(address, timekeeper.System{}, WithUnframed()))
+			body, err := doAcceptingOwn(New(address, timekeeper.System{}, AcceptNoLength()))
 			if !errors.Is(err, test.want) || (err == nil && body != "whole") {
 				t.Errorf("got %q, %v; want %v", body, err, test.want)
 			}
--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -33,14 +33,14 @@
 	// ErrNotSent means that no connection could be opened, that the deadline had already passed, or that the context
 	// was already done.
 	ErrNotSent = merry.Sentinel("not sent")
-	// ErrOverdue means that Exchange.Overdue gave up waiting for the first byte of the response.
+	// ErrOverdue means that Exchange.OnOverdue gave up waiting for the first byte of the response.
 	ErrOverdue = merry.Sentinel("answer overdue")
 	// ErrTimeout means that Exchange.Deadline passed.
 	ErrTimeout = merry.Sentinel("deadline passed")
 	// ErrTooLong means that the response exceeded a size limit or had too many interim responses before it.
 	ErrTooLong = merry.Sentinel("answer too long")
-	// ErrUnframed means that the response body had no length and the pool was not created with WithUnframed.
-	ErrUnframed = merry.Sentinel("answer without a length")
+	// ErrNoLength means that the response body had no length and the pool was not created with AcceptNoLength.
+	ErrNoLength = merry.Sentinel("answer without a length")
 )
 
 // Limits of a Pool.
@@ -71,13 +71,13 @@
 
 // Pool keeps connections to one address for reuse. It is safe for concurrent use.
 type Pool struct {
-	address     netip.AddrPort
-	clock       timekeeper.Clock
-	dial        func(netip.AddrPort, time.Duration) (net.Conn, error)
-	maxAge      time.Duration
-	maxBody     int
-	maxIdleTime time.Duration
-	unframed    bool
+	address        netip.AddrPort
+	clock          timekeeper.Clock
+	dial           func(netip.AddrPort, time.Duration) (net.Conn, error)
+	maxAge         time.Duration
+	maxBody        int
+	maxIdleTime    time.Duration
+	acceptNoLength bool
 
 	mu     sync.Mutex
 	closed bool
@@ -102,10 +102,10 @@
 	return func(p *Pool) { p.maxIdleTime = limit }
 }
 
-// WithUnframed accepts responses whose body has no length. Such a body is complete when the stream ends without an
+// AcceptNoLength accepts responses whose body has no length. Such a body is complete when the stream ends without an
 // error.
-func WithUnframed() Option {
-	return func(p *Pool) { p.unframed = true }
+func AcceptNoLength() Option {
+	return func(p *Pool) { p.acceptNoLength = true }
 }
 
 // New returns an empty pool of connections to address.
@@ -135,17 +135,18 @@
 	Accept func(header *fasthttp.ResponseHeader) bool
 	// Deadline ends the exchange: dialing, sending and reading the response.
 	Deadline time.Time
-	// Fresh requests a new connection that is closed after the exchange.
-	Fresh bool
-	// Overdue is called when Patience has passed without a byte of the response. It returns how long to wait until
-	// the next call, or zero to give up with ErrOverdue. It can be nil.
-	Overdue func() time.Duration
+	// NewConnection requests a new connection that is closed after the exchange.
+	NewConnection bool
+	// OnOverdue is called when ExpectedFirstByte has passed without a byte of the response. It returns how long to
+	// wait until the next call, or zero to give up with ErrOverdue. It can be nil.
+	OnOverdue func() time.Duration
 	// MaxIdle limits how long a reused connection may have been idle; zero means the pool's limit.
 	MaxIdle time.Duration
-	// Patience is how long the first byte of a response usually takes at most. Overdue is not called if it is zero.
-	Patience time.Duration
-	Request  *fasthttp.Request
-	Response *fasthttp.Response
+	// ExpectedFirstByte is how long the first byte of a response usually takes at most. OnOverdue is not called if it
+	// is zero.
+	ExpectedFirstByte time.Duration
+	Request           *fasthttp.Request
+	Response          *fasthttp.Response
 }
 
 // Do sends the request once and reads the whole response. Errors wrap one of the package's sentinel errors. When ctx
@@ -170,7 +171,7 @@
 		_ = c.Close()
 		return p.classify(ctx, err)
 	}
-	if x.Fresh || x.Response.ConnectionClose() || ctx.Err() != nil || c.reader.Buffered() > 0 {
+	if x.NewConnection || x.Response.ConnectionClose() || ctx.Err() != nil || c.reader.Buffered() > 0 {
 		_ = c.Close()
 		return nil
 	}
@@ -232,7 +233,7 @@
 	return ErrForeign
 }
 
-// readResponse reads one whole response: header, body and trailer. Without WithUnframed, a body that ends with the
+// readResponse reads one whole response: header, body and trailer. Without AcceptNoLength, a body that ends with the
 // stream is an error, because it cannot be told whether the body is complete.
 func (p *Pool) readResponse(c *conn, x *Exchange) error {
 	header := &x.Response.Header
@@ -244,8 +245,8 @@
 		return nil
 	}
 	contentLength := header.ContentLength()
-	if contentLength == noLength && !p.unframed {
-		return ErrUnframed
+	if contentLength == noLength && !p.acceptNoLength {
+		return ErrNoLength
 	}
 	if err := x.Response.ReadBody(c.reader, p.maxBody); err != nil {
 		return err
@@ -274,15 +275,15 @@
 	return status < fasthttp.StatusOK || status == fasthttp.StatusNoContent || status == fasthttp.StatusNotModified
 }
 
-// awaitFirstByte waits for the first byte of the response and calls Overdue each time that it is late. It stops
+// awaitFirstByte waits for the first byte of the response and calls OnOverdue each time that it is late. It stops
 // waiting, without an error, when the next call would be due at the deadline or later.
 func (p *Pool) awaitFirstByte(c *conn, x *Exchange, now time.Time) error {
-	if x.Patience <= 0 || x.Overdue == nil {
+	if x.ExpectedFirstByte <= 0 || x.OnOverdue == nil {
 		return nil
 	}
-	patience := x.Patience
-	for now.Add(patience).Before(x.Deadline) {
-		if err := c.SetReadDeadline(now.Add(patience)); err != nil {
+	wait := x.ExpectedFirstByte
+	for now.Add(wait).Before(x.Deadline) {
+		if err := c.SetReadDeadline(now.Add(wait)); err != nil {
 			return err
 		}
 		_, err := c.reader.Peek(1)
@@ -292,8 +293,8 @@
 		if !errors.Is(err, os.ErrDeadlineExceeded) {
 			return err
 		}
-		patience = x.Overdue()
-		if patience <= 0 {
+		wait = x.OnOverdue()
+		if wait <= 0 {
 			return ErrOverdue
 		}
 		now = p.clock.Now()
@@ -309,7 +310,7 @@
 		return fmt.Errorf("%w: %s", ErrCancelled, p.address)
 	case errors.Is(err, ErrTooLong), errors.Is(err, fasthttp.ErrBodyTooLarge), errors.As(err, &small):
 		return fmt.Errorf("%w: %s", ErrTooLong, p.address)
-	case errors.Is(err, ErrOverdue), errors.Is(err, ErrUnframed), errors.Is(err, ErrForeign):
+	case errors.Is(err, ErrOverdue), errors.Is(err, ErrNoLength), errors.Is(err, ErrForeign):
 		return fmt.Errorf("%s: %w", p.address, err)
 	case errors.Is(err, os.ErrDeadlineExceeded), errors.Is(err, fasthttp.ErrTimeout):
 		return fmt.Errorf("%w: %s", ErrTimeout, p.address)
@@ -320,7 +321,7 @@
 
 // acquire returns a reusable idle connection or dials a new one. It closes idle connections that can't be reused.
 func (p *Pool) acquire(now time.Time, x *Exchange) (*conn, error) {
-	for !x.Fresh {
+	for !x.NewConnection {
 		c := p.popIdle()
 		if c == nil {
 			break
--- a/internal/forwarder/forwarder_test.go
+++ b/internal/forwarder/forwarder_test.go
@@ -61,7 +61,7 @@
 		{"chunked", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", nil},
 		{"truncated chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n", ErrLost},
 		{"short body", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", ErrLost},
-		{"no length", "HTTP/1.1 200 OK\r\n\r\nok", ErrUnframed},
+		{"no length", "HTTP/1.1 200 OK\r\n\r\nok", ErrNoLength},
 		{"truncated header", "HTTP/1.1 200 O", ErrLost},
 		{"no response", "", ErrLost},
 	}
--- a/internal/hintreader/hintreader.go
+++ b/internal/hintreader/hintreader.go
@@ -130,10 +130,10 @@
 	req.SetRequestURI(path)
 	req.Header.SetHost("upstream")
 	err = pool.Do(ctx, &forwarder.Exchange{
-		Deadline: r.clock.Now().Add(requestTimeout),
-		Fresh:    true,
-		Request:  req,
-		Response: resp,
+		Deadline:      r.clock.Now().Add(requestTimeout),
+		NewConnection: true,
+		Request:       req,
+		Response:      resp,
 	})
 	return resp.StatusCode(), resp.Body(), err
 }
--- a/internal/relayer/node.go
+++ b/internal/relayer/node.go
@@ -145,7 +145,7 @@
 	n.recorder = recorder.New(n.clock)
 	n.claimTable = claimer.NewTable(n.clock)
 	n.upstream = newLocalUpstream(n.clock, n.interpreter, func(load interpreter.Load) { n.executor.UpdateLoad(load) },
-		forwarder.WithMaxBody(settings.MaxBodyBytes), forwarder.WithUnframed())
+		forwarder.WithMaxBody(settings.MaxBodyBytes), forwarder.AcceptNoLength())
 	n.router = router.New(n.clock, newRandom(), n.policy, settings.Region, settings.DataCentre)
 	if err := n.buildRegister(); err != nil {
 		return nil, err
