--- a/internal/listener/listener.go
+++ b/internal/listener/listener.go
@@ -57,7 +57,7 @@
 // acceptRetryDelay is the pause after a failed accept.
 const acceptRetryDelay = 10 * time.Millisecond
 
-// Serve accepts and serves connections until Close, Shut or Abort is called. It does not wait for open connections.
+// Serve accepts and serves connections until Close, StartShutdown or Abort is called. It does not wait for open connections.
 func (l *Listener) Serve(listener net.Listener) {
 	l.mu.Lock()
 	l.listener = listener
@@ -128,7 +128,7 @@
 // Close stops accepting connections, closes idle ones, and waits for the others to finish. When ctx is done, it aborts
 // the remaining ones.
 func (l *Listener) Close(ctx context.Context) {
-	l.Shut()
+	l.StartShutdown()
 	done := make(chan struct{})
 	go func() {
 		l.serving.Wait()
@@ -141,8 +141,8 @@
 	}
 }
 
-// Shut stops accepting connections and closes idle ones, without waiting. The others are closed as by Drain.
-func (l *Listener) Shut() {
+// StartShutdown stops accepting connections and closes idle ones, without waiting. The others are closed as by Drain.
+func (l *Listener) StartShutdown() {
 	l.Drain()
 	l.stopAccepting()
 	for _, c := range l.openConns() {
--- a/internal/relayer/control.go
+++ b/internal/relayer/control.go
@@ -93,7 +93,7 @@
 	n.executor.Drain()
 	time.Sleep(min(rerouteDelay, notice))
 	if n.callerListener != nil {
-		n.callerListener.Shut()
+		n.callerListener.StartShutdown()
 	}
 	for n.inFlight() > 0 && n.clock.Now().Sub(started) < limit {
 		time.Sleep(drainPollInterval)
