--- a/internal/carrier/carrier.go
+++ b/internal/carrier/carrier.go
@@ -186,7 +186,7 @@
 	if errors.Is(err, forwarder.ErrCancelled) {
 		reason = refuser.ReasonCancelled
 	}
-	return Outcome{Arrived: true, Lost: a.Idempotent, Refusal: refuser.Unknown(reason, err.Error())}
+	return Outcome{Arrived: true, Lost: a.Idempotent, Refusal: refuser.NewPossiblyRun(reason, err.Error())}
 }
 
 // resolveRequest is a query to a node about the state of an attempt.
@@ -232,7 +232,7 @@
 }
 
 func unknownOutcome(a *Attempt, detail string) Outcome {
-	return Outcome{Arrived: true, Lost: a.Idempotent, Refusal: refuser.Unknown(refuser.ReasonOutcomeUnknown, detail)}
+	return Outcome{Arrived: true, Lost: a.Idempotent, Refusal: refuser.NewPossiblyRun(refuser.ReasonOutcomeUnknown, detail)}
 }
 
 func (c *Carrier) isReplaced(to gossiper.Member) bool {
--- a/internal/claimer/claimer.go
+++ b/internal/claimer/claimer.go
@@ -112,9 +112,9 @@
 		case record.State == StateAnswered:
 			return unpackAnswer(record.Answer, resp)
 		case record.State == StateUnknown:
-			return refuser.Unknown(refuser.ReasonOutcomeUnknown, "an earlier request with this key may have run")
+			return refuser.NewPossiblyRun(refuser.ReasonOutcomeUnknown, "an earlier request with this key may have run")
 		case !c.members.IsRunning(record.Claimant):
-			return refuser.Unknown(refuser.ReasonOutcomeUnknown, "the node that ran an earlier request with this key is gone")
+			return refuser.NewPossiblyRun(refuser.ReasonOutcomeUnknown, "the node that ran an earlier request with this key is gone")
 		}
 		c.releaseAtOwners(owners, claim)
 		timekeeper.Sleep(ctx, c.clock, delay+jitter(claim.Claimant, delay))
@@ -263,7 +263,7 @@
 func unpackAnswer(answer []byte, resp *fasthttp.Response) *refuser.Refusal {
 	resp.Reset()
 	if err := resp.Read(bufio.NewReader(bytes.NewReader(answer))); err != nil {
-		return refuser.Unknown(refuser.ReasonOutcomeUnknown, "the kept answer can't be read")
+		return refuser.NewPossiblyRun(refuser.ReasonOutcomeUnknown, "the kept answer can't be read")
 	}
 	return nil
 }
--- a/internal/dispatcher/attempts.go
+++ b/internal/dispatcher/attempts.go
@@ -230,7 +230,7 @@
 }
 
 func noUpstreamRefusal() *refuser.Refusal {
-	return refuser.Later(refuser.ReasonNoUpstream, noUpstreamRetry, "no server of the service is ready")
+	return refuser.NewWithRetryAfter(refuser.ReasonNoUpstream, noUpstreamRetry, "no server of the service is ready")
 }
 
 // nextAttempt returns the next attempt of the call.
--- a/internal/dispatcher/attempts_test.go
+++ b/internal/dispatcher/attempts_test.go
@@ -60,7 +60,7 @@
 		tries := 0
 		d := newChain(t, 1, func() carrier.Outcome {
 			if tries++; tries <= 2 {
-				return carrier.Outcome{Refusal: refuser.Later(refuser.ReasonQueueFull, time.Second, "full")}
+				return carrier.Outcome{Refusal: refuser.NewWithRetryAfter(refuser.ReasonQueueFull, time.Second, "full")}
 			}
 			return carrier.Outcome{}
 		})[0].Dispatcher
--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -206,7 +206,7 @@
 	call.RequestID = parsed.ID
 	table := d.table.Load()
 	if table == nil {
-		return call, refuser.Later(refuser.ReasonNoDocument, noUpstreamRetry, "no configuration is in force yet")
+		return call, refuser.NewWithRetryAfter(refuser.ReasonNoDocument, noUpstreamRetry, "no configuration is in force yet")
 	}
 	inherited, nested := d.ReadContext(req)
 	stripHeaders(req)
--- a/internal/dispatcher/dispatcher_test.go
+++ b/internal/dispatcher/dispatcher_test.go
@@ -87,7 +87,7 @@
 	case outcome := <-answered:
 		return outcome
 	case <-ctx.Done():
-		return carrier.Outcome{Lost: true, Refusal: refuser.Unknown(refuser.ReasonCancelled, "cancelled")}
+		return carrier.Outcome{Lost: true, Refusal: refuser.NewPossiblyRun(refuser.ReasonCancelled, "cancelled")}
 	}
 }
 
@@ -145,7 +145,7 @@
 }
 
 func lostOutcome() carrier.Outcome {
-	return carrier.Outcome{Lost: true, Refusal: refuser.Unknown(refuser.ReasonUpstreamLost, "outage")}
+	return carrier.Outcome{Lost: true, Refusal: refuser.NewPossiblyRun(refuser.ReasonUpstreamLost, "outage")}
 }
 
 // TestRetriesDoNotAmplifyAnOutage guards against retries that multiply over the levels of nested calls. It counts
--- a/internal/executor/executor.go
+++ b/internal/executor/executor.go
@@ -321,7 +321,7 @@
 	id := x.Attempt.ID()
 	if err := e.Recorder.Begin(id); err != nil {
 		e.Meter.Event("late_attempts")
-		return e.refusedOutcome(refuser.Unknown(refuser.ReasonOutcomeUnknown, err.Error()))
+		return e.refusedOutcome(refuser.NewPossiblyRun(refuser.ReasonOutcomeUnknown, err.Error()))
 	}
 	e.recordPeer(x)
 	outcome := e.admit(ctx, x)
@@ -414,7 +414,7 @@
 	if remaining <= 0 {
 		return nil
 	}
-	return refuser.Later(refuser.ReasonPoison, remaining, "requests like this one have crashed upstreams")
+	return refuser.NewWithRetryAfter(refuser.ReasonPoison, remaining, "requests like this one have crashed upstreams")
 }
 
 func (e *Executor) fingerprint(x *Execution) quarantiner.Fingerprint {
@@ -443,7 +443,7 @@
 	if x.Attempt.Optional && !e.canStartPromptly(x.Attempt.ToleratesSlow) {
 		e.mu.Unlock()
 		e.Meter.Event("handed_back")
-		return carrier.Outcome{Refusal: refuser.Later(refuser.ReasonBusy, sweepInterval, "the upstream is full or slow and the sender has another")}
+		return carrier.Outcome{Refusal: refuser.NewWithRetryAfter(refuser.ReasonBusy, sweepInterval, "the upstream is full or slow and the sender has another")}
 	}
 	hasSlot := e.schedule.TryRun(w)
 	overloaded := !hasSlot && e.schedule.ExpectedWait(w.Class) > x.Deadline.Sub(now)
--- a/internal/executor/harness_test.go
+++ b/internal/executor/harness_test.go
@@ -159,7 +159,7 @@
 	x.Attempt.Rank, x.Attempt.Neighbour = rank, neighbour
 	outcome := m.Execute(context.Background(), x)
 	if outcome.Refusal == nil && x.Response.StatusCode() == fasthttp.StatusServiceUnavailable {
-		outcome.Refusal = refuser.Unknown(refuser.ReasonUpstreamFailed, "the upstream failed")
+		outcome.Refusal = refuser.NewPossiblyRun(refuser.ReasonUpstreamFailed, "the upstream failed")
 	}
 	return outcome
 }
--- a/internal/executor/repeat.go
+++ b/internal/executor/repeat.go
@@ -33,7 +33,7 @@
 }
 
 func repeatBudgetRefusal() *refuser.Refusal {
-	return refuser.Later(refuser.ReasonRetryBudget, repeatRetryAfter, "the upstream has had as many repeats as it may")
+	return refuser.NewWithRetryAfter(refuser.ReasonRetryBudget, repeatRetryAfter, "the upstream has had as many repeats as it may")
 }
 
 // recordArrival counts an attempt that is about to be sent to the upstream. It returns a function that
--- a/internal/executor/run.go
+++ b/internal/executor/run.go
@@ -176,23 +176,23 @@
 		}
 		return refuser.New(refuser.ReasonNoUpstream, "the upstream takes no connection")
 	case errors.Is(err, ErrShed):
-		return refuser.Later(refuser.ReasonShed, sweepInterval, "the upstream has no room")
+		return refuser.NewWithRetryAfter(refuser.ReasonShed, sweepInterval, "the upstream has no room")
 	case errors.Is(err, ErrMisdirected):
 		e.OnUpstreamDown(instance)
 		return refuser.New(refuser.ReasonNoUpstream, "another instance has the upstream's address")
 	case errors.Is(err, forwarder.ErrTimeout):
-		return refuser.Unknown(refuser.ReasonDeadline, "the upstream did not answer before the deadline")
+		return refuser.NewPossiblyRun(refuser.ReasonDeadline, "the upstream did not answer before the deadline")
 	case errors.Is(err, forwarder.ErrCancelled):
-		return refuser.Unknown(refuser.ReasonCancelled, "the caller went away")
+		return refuser.NewPossiblyRun(refuser.ReasonCancelled, "the caller went away")
 	case errors.Is(err, forwarder.ErrForeign):
-		return refuser.Unknown(refuser.ReasonUpstreamFailed, "the upstream's answer belongs to another request or is not its own")
+		return refuser.NewPossiblyRun(refuser.ReasonUpstreamFailed, "the upstream's answer belongs to another request or is not its own")
 	case errors.Is(err, forwarder.ErrTooLong):
-		return refuser.Unknown(refuser.ReasonUpstreamFailed, "the upstream's answer is too long")
+		return refuser.NewPossiblyRun(refuser.ReasonUpstreamFailed, "the upstream's answer is too long")
 	case errors.Is(err, forwarder.ErrNoLength):
-		return refuser.Unknown(refuser.ReasonUpstreamFailed, "the upstream's answer has no length")
+		return refuser.NewPossiblyRun(refuser.ReasonUpstreamFailed, "the upstream's answer has no length")
 	default:
 		e.reportCrash(ctx, instance)
-		return refuser.Unknown(refuser.ReasonUpstreamLost, "the upstream closed the connection before its whole answer")
+		return refuser.NewPossiblyRun(refuser.ReasonUpstreamLost, "the upstream closed the connection before its whole answer")
 	}
 }
 
--- a/internal/executor/wait.go
+++ b/internal/executor/wait.go
@@ -26,7 +26,7 @@
 		}
 		e.Meter.Event("bindings_undone")
 	}
-	return carrier.Outcome{Refusal: refuser.Later(refuser.ReasonQueueFull, sweepInterval, "no sibling kept its promised slot")}
+	return carrier.Outcome{Refusal: refuser.NewWithRetryAfter(refuser.ReasonQueueFull, sweepInterval, "no sibling kept its promised slot")}
 }
 
 // awaitDecision submits the attempt to the scheduler and waits for its decision. It returns a refusal when
--- a/internal/refuser/refuser.go
+++ b/internal/refuser/refuser.go
@@ -71,13 +71,14 @@
 	return &Refusal{Reason: reason, NotRun: NotRunTrue, Detail: detail}
 }
 
-// Later returns a refusal of a request that is known not to have run, with the time after which a retry can succeed.
-func Later(reason Reason, retryAfter time.Duration, detail string) *Refusal {
+// NewWithRetryAfter returns a refusal of a request that is known not to have run, with the time after which a retry can
+// succeed.
+func NewWithRetryAfter(reason Reason, retryAfter time.Duration, detail string) *Refusal {
 	return &Refusal{Reason: reason, NotRun: NotRunTrue, RetryAfter: retryAfter, Detail: detail}
 }
 
-// Unknown returns a refusal of a request that may have run.
-func Unknown(reason Reason, detail string) *Refusal {
+// NewPossiblyRun returns a refusal of a request that may have run.
+func NewPossiblyRun(reason Reason, detail string) *Refusal {
 	return &Refusal{Reason: reason, NotRun: NotRunUnknown, Detail: detail}
 }
 
--- a/internal/scheduler/admission.go
+++ b/internal/scheduler/admission.go
@@ -9,7 +9,7 @@
 // admissionRefusal returns a refusal if w should not be queued, or nil.
 func (s *Scheduler) admissionRefusal(now time.Time, w *Waiter) *refuser.Refusal {
 	if s.queued >= maxQueued {
-		return refuser.Later(refuser.ReasonQueueFull, s.retryAfter(w.Class, 0), "the queue is full")
+		return refuser.NewWithRetryAfter(refuser.ReasonQueueFull, s.retryAfter(w.Class, 0), "the queue is full")
 	}
 	if w.Reservation {
 		return nil
@@ -22,10 +22,10 @@
 	// A neighbour can always have one request of each rank queued, so that a neighbour whose requests are
 	// expensive gets its share.
 	if wait+s.expectedStall > target && len(s.flowOf(w.Class).queue) > 0 {
-		return refuser.Later(refuser.ReasonQueueFull, s.retryAfter(w.Class, target), "the expected wait is too long")
+		return refuser.NewWithRetryAfter(refuser.ReasonQueueFull, s.retryAfter(w.Class, target), "the expected wait is too long")
 	}
 	if now.Add(wait + s.expectedCost(w.Class)).After(w.Deadline) {
-		return refuser.Later(refuser.ReasonDeadline, s.retryAfter(w.Class, w.Deadline.Sub(now)), "the deadline can't be met")
+		return refuser.NewWithRetryAfter(refuser.ReasonDeadline, s.retryAfter(w.Class, w.Deadline.Sub(now)), "the deadline can't be met")
 	}
 	return nil
 }
--- a/internal/scheduler/order.go
+++ b/internal/scheduler/order.go
@@ -38,7 +38,7 @@
 			return w
 		}
 		w.phase = phaseRefused
-		w.Decisions <- Decision{Refusal: refuser.Later(refuser.ReasonDeadline, s.retryAfter(w.Class, 0), "the deadline passed in the queue")}
+		w.Decisions <- Decision{Refusal: refuser.NewWithRetryAfter(refuser.ReasonDeadline, s.retryAfter(w.Class, 0), "the deadline passed in the queue")}
 	}
 }
 
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -271,12 +271,12 @@
 		if now.Before(w.Deadline) || !s.Withdraw(w) {
 			continue
 		}
-		w.Decisions <- Decision{Refusal: refuser.Later(refuser.ReasonDeadline, s.retryAfter(w.Class, 0), "the deadline passed in the queue")}
+		w.Decisions <- Decision{Refusal: refuser.NewWithRetryAfter(refuser.ReasonDeadline, s.retryAfter(w.Class, 0), "the deadline passed in the queue")}
 	}
 }
 
 func (s *Scheduler) tooLateRefusal(w *Waiter) *refuser.Refusal {
-	return refuser.Later(refuser.ReasonQueueFull, s.retryAfter(w.Class, 0), "the wait was longer than expected and others are in time")
+	return refuser.NewWithRetryAfter(refuser.ReasonQueueFull, s.retryAfter(w.Class, 0), "the wait was longer than expected and others are in time")
 }
 
 // Flush refuses every queued waiter with the given refusal. Running requests continue.
