--- a/internal/cmd/upstreamcmd.go
+++ b/internal/cmd/upstreamcmd.go
@@ -81,7 +81,7 @@
 func behaviourFromFlags(command *cli.Command) responder.Behaviour {
 	return responder.Behaviour{
 		FailFast:       command.Bool("fail-fast"),
-		Service:        command.Duration("service-time"),
+		ServiceTime:    command.Duration("service-time"),
 		Slots:          command.Int("slots"),
 		Steady:         command.Bool("steady"),
 		StraggleFactor: command.Float("straggle"),
--- a/internal/demonstrator/demonstrator.go
+++ b/internal/demonstrator/demonstrator.go
@@ -72,7 +72,7 @@
 	for i := range nodeCount {
 		dataCentre := []string{"flacq", "moka"}[i%2]
 		_, err := d.Add(Place{
-			Behaviour:  responder.Behaviour{Service: serviceTime, Slots: upstreamSlots},
+			Behaviour:  responder.Behaviour{ServiceTime: serviceTime, Slots: upstreamSlots},
 			DataCentre: dataCentre,
 			Name:       fmt.Sprintf("%s-%d", dataCentre, i),
 			Service:    []string{"entries", "booking"}[i/2%2],
--- a/internal/relayer/atmostonce_test.go
+++ b/internal/relayer/atmostonce_test.go
@@ -146,7 +146,7 @@
 // TestAtMostOnceWhenConnectionBreaks cuts or silences the connection between the nodes at each stage of a call. It
 // guards against a request that runs twice, and against an answer that is wrong about whether it ran.
 func TestAtMostOnceWhenConnectionBreaks(t *testing.T) {
-	slow := responder.Behaviour{Service: 200 * time.Millisecond, Slots: 4, Steady: true}
+	slow := responder.Behaviour{ServiceTime: 200 * time.Millisecond, Slots: 4, Steady: true}
 	tests := []struct {
 		name string
 		// watch returns the functions that see the requests and the answers.
@@ -197,7 +197,7 @@
 // TestAtMostOnceWhenTargetDies kills and restarts the node that runs the request. The caller must soon learn that
 // the outcome is unknown.
 func TestAtMostOnceWhenTargetDies(t *testing.T) {
-	c := newTestCluster(t, 1, responder.Behaviour{Service: 500 * time.Millisecond, Slots: 4, Steady: true})
+	c := newTestCluster(t, 1, responder.Behaviour{ServiceTime: 500 * time.Millisecond, Slots: 4, Steady: true})
 	target := c.Station(1)
 	restarted := make(chan struct{})
 	time.AfterFunc(150*time.Millisecond, func() {
@@ -221,7 +221,7 @@
 // TestAtMostOnceWhenUpstreamCrashes crashes the upstream in the middle of the request. The caller must learn that
 // the outcome is unknown.
 func TestAtMostOnceWhenUpstreamCrashes(t *testing.T) {
-	c := newTestCluster(t, 2, responder.Behaviour{Service: 500 * time.Millisecond, Slots: 4, Steady: true})
+	c := newTestCluster(t, 2, responder.Behaviour{ServiceTime: 500 * time.Millisecond, Slots: 4, Steady: true})
 	crashed := make(chan struct{})
 	time.AfterFunc(150*time.Millisecond, func() {
 		defer close(crashed)
@@ -239,7 +239,7 @@
 // TestIdempotencyKeyRunsOnce repeats a request with its idempotency key: concurrently, later and at another node.
 // The request must run once, and all repeats must get its answer.
 func TestIdempotencyKeyRunsOnce(t *testing.T) {
-	c := newTestCluster(t, 3, responder.Behaviour{Service: 100 * time.Millisecond, Slots: 4, Steady: true})
+	c := newTestCluster(t, 3, responder.Behaviour{ServiceTime: 100 * time.Millisecond, Slots: 4, Steady: true})
 	other := c.Station(1).Settings.CallerAddress
 	var calls sync.WaitGroup
 	results := make([]callResult, 4)
@@ -270,7 +270,7 @@
 // TestAtMostOnceWhenEntryDies kills the entry node during a request with an idempotency key, which the caller
 // repeats at another node.
 func TestAtMostOnceWhenEntryDies(t *testing.T) {
-	c := newTestCluster(t, 3, responder.Behaviour{Service: 300 * time.Millisecond, Slots: 4, Steady: true})
+	c := newTestCluster(t, 3, responder.Behaviour{ServiceTime: 300 * time.Millisecond, Slots: 4, Steady: true})
 	first := make(chan struct{})
 	go func() {
 		defer close(first)
@@ -303,7 +303,7 @@
 
 // TestReservedHeadersFromCallers sends headers that only nodes are allowed to set.
 func TestReservedHeadersFromCallers(t *testing.T) {
-	c := newTestCluster(t, 1, responder.Behaviour{Service: time.Millisecond, Slots: 4})
+	c := newTestCluster(t, 1, responder.Behaviour{ServiceTime: time.Millisecond, Slots: 4})
 	pool := forwarder.New(c.entry.Settings.CallerAddress, timekeeper.System{})
 	defer pool.Close()
 	req, resp := &fasthttp.Request{}, &fasthttp.Response{}
--- a/internal/relayer/budget_test.go
+++ b/internal/relayer/budget_test.go
@@ -36,7 +36,7 @@
 	defer d.Close()
 	for i := range count {
 		addStation(t, d, demonstrator.Place{
-			Behaviour:  responder.Behaviour{Service: 140 * time.Millisecond, Slots: 12},
+			Behaviour:  responder.Behaviour{ServiceTime: 140 * time.Millisecond, Slots: 12},
 			DataCentre: fmt.Sprintf("dc%d", i%2), Name: fmt.Sprintf("n%d", i), Service: "entries",
 		})
 	}
--- a/internal/relayer/capacity_test.go
+++ b/internal/relayer/capacity_test.go
@@ -82,7 +82,7 @@
 	}
 	defer d.Close()
 	// 12 slots of 125 ms give 96 calls a second, of which 86 are 90%.
-	behaviour := responder.Behaviour{Service: 125 * time.Millisecond, Slots: 12}
+	behaviour := responder.Behaviour{ServiceTime: 125 * time.Millisecond, Slots: 12}
 	for i := range count {
 		place := demonstrator.Place{DataCentre: fmt.Sprintf("dc%d", i%7), Name: fmt.Sprintf("n%d", i)}
 		if callsPerNode > 0 {
--- a/internal/relayer/poison_test.go
+++ b/internal/relayer/poison_test.go
@@ -34,7 +34,7 @@
 // TestLateNodeBarsKnownPoison guards against a request that crashes one more upstream with each node that is
 // started, because bars were sent only to the nodes that were running at the time.
 func TestLateNodeBarsKnownPoison(t *testing.T) {
-	behaviour := responder.Behaviour{Service: 5 * time.Millisecond, Slots: 12, Steady: true}
+	behaviour := responder.Behaviour{ServiceTime: 5 * time.Millisecond, Slots: 12, Steady: true}
 	c := newTestCluster(t, 3, behaviour)
 	pool := forwarder.New(c.entry.Settings.CallerAddress, timekeeper.System{})
 	defer pool.Close()
@@ -65,7 +65,7 @@
 // request, and against innocent requests that stay refused.
 func TestPoisonRequest(t *testing.T) {
 	const targets = 6
-	c := newTestCluster(t, targets, responder.Behaviour{Service: 100 * time.Millisecond, Slots: 12, Steady: true})
+	c := newTestCluster(t, targets, responder.Behaviour{ServiceTime: 100 * time.Millisecond, Slots: 12, Steady: true})
 	pool := forwarder.New(c.entry.Settings.CallerAddress, timekeeper.System{})
 	defer pool.Close()
 	send := func(path string, poison bool) int { return requestStatus(t, pool, path, poison) }
--- a/internal/relayer/silent_test.go
+++ b/internal/relayer/silent_test.go
@@ -24,7 +24,7 @@
 	)
 	for _, count := range []int{1, callers} {
 		t.Run(fmt.Sprintf("%d of %d", count, callers), func(t *testing.T) {
-			c := newTestCluster(t, 1, responder.Behaviour{Service: service, Slots: callers, Steady: true})
+			c := newTestCluster(t, 1, responder.Behaviour{ServiceTime: service, Slots: callers, Steady: true})
 			run := func(prefix string) (results []callResult) {
 				var mu sync.Mutex
 				var work sync.WaitGroup
--- a/internal/relayer/soak_test.go
+++ b/internal/relayer/soak_test.go
@@ -40,7 +40,7 @@
 
 // TestSoak makes random calls under random faults, two faults at a time.
 func TestSoak(t *testing.T) {
-	c := newTestCluster(t, soakTargets, responder.Behaviour{Service: 10 * time.Millisecond, Slots: 8})
+	c := newTestCluster(t, soakTargets, responder.Behaviour{ServiceTime: 10 * time.Millisecond, Slots: 8})
 	s := &soak{
 		faults: make(map[string]int), random: rand.New(rand.NewPCG(*soakSeed, 1)), faultLocks: make([]sync.Mutex, soakTargets+1),
 		outcomes: make(map[string]int), testCluster: c,
--- a/internal/responder/behaviour.go
+++ b/internal/responder/behaviour.go
@@ -13,8 +13,8 @@
 	HealthLie bool
 	// LoadLie makes the load endpoint report that the upstream is idle.
 	LoadLie bool
-	// Service is the mean service time. Service times are exponentially distributed unless Steady is set.
-	Service time.Duration
+	// ServiceTime is the mean service time. Service times are exponentially distributed unless Steady is set.
+	ServiceTime time.Duration
 	// Slots is the number of requests that run concurrently. Further ones wait inside the upstream.
 	Slots int
 	// Steady makes the service time constant.
@@ -28,7 +28,7 @@
 	FailFast       bool    `json:"fail-fast"`
 	HealthLie      bool    `json:"health-lie"`
 	LoadLie        bool    `json:"load-lie"`
-	Service        string  `json:"service-time"`
+	ServiceTime    string  `json:"service-time"`
 	Slots          int     `json:"slots"`
 	Steady         bool    `json:"steady"`
 	StraggleFactor float64 `json:"straggle-factor"`
@@ -37,7 +37,7 @@
 // MarshalJSON implements json.Marshaler.
 func (b Behaviour) MarshalJSON() ([]byte, error) {
 	return json.Marshal(behaviourJSON{
-		FailFast: b.FailFast, HealthLie: b.HealthLie, LoadLie: b.LoadLie, Service: b.Service.String(),
+		FailFast: b.FailFast, HealthLie: b.HealthLie, LoadLie: b.LoadLie, ServiceTime: b.ServiceTime.String(),
 		Slots: b.Slots, Steady: b.Steady, StraggleFactor: b.StraggleFactor,
 	})
 }
@@ -45,18 +45,18 @@
 // UnmarshalJSON implements json.Unmarshaler. Fields that are missing in data keep their values.
 func (b *Behaviour) UnmarshalJSON(data []byte) error {
 	decoded := behaviourJSON{
-		FailFast: b.FailFast, HealthLie: b.HealthLie, LoadLie: b.LoadLie, Service: b.Service.String(),
+		FailFast: b.FailFast, HealthLie: b.HealthLie, LoadLie: b.LoadLie, ServiceTime: b.ServiceTime.String(),
 		Slots: b.Slots, Steady: b.Steady, StraggleFactor: b.StraggleFactor,
 	}
 	if err := json.Unmarshal(data, &decoded); err != nil {
 		return err
 	}
-	service, err := time.ParseDuration(decoded.Service)
+	serviceTime, err := time.ParseDuration(decoded.ServiceTime)
 	if err != nil {
 		return err
 	}
 	*b = Behaviour{
-		FailFast: decoded.FailFast, HealthLie: decoded.HealthLie, LoadLie: decoded.LoadLie, Service: service,
+		FailFast: decoded.FailFast, HealthLie: decoded.HealthLie, LoadLie: decoded.LoadLie, ServiceTime: serviceTime,
 		Slots: decoded.Slots, Steady: decoded.Steady, StraggleFactor: decoded.StraggleFactor,
 	}
 	return nil
--- a/internal/responder/responder.go
+++ b/internal/responder/responder.go
@@ -314,7 +314,7 @@
 	if !r.behaviour.Steady {
 		factor *= r.random.ExpFloat64()
 	}
-	return time.Duration(float64(r.behaviour.Service) * factor)
+	return time.Duration(float64(r.behaviour.ServiceTime) * factor)
 }
 
 // HasCrashed reports whether Crash was called.
