--- a/internal/messenger/bench_test.go
+++ b/internal/messenger/bench_test.go
@@ -11,13 +11,13 @@
 	"github.com/marigoldrelay/marigoldrelay/internal/signer"
 )
 
-// byteCounter is a Meter that adds up the sent bytes.
-type byteCounter struct {
+// sentByteCounter is a ByteCounter that adds up the sent bytes.
+type sentByteCounter struct {
 	bytesSent atomic.Int64
 }
 
-// Count implements Meter.
-func (c *byteCounter) Count(_ string, bytes int) {
+// AddControlBytes implements ByteCounter.
+func (c *sentByteCounter) AddControlBytes(_ string, bytes int) {
 	c.bytesSent.Add(int64(bytes))
 }
 
@@ -33,7 +33,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	var counter byteCounter
+	var counter sentByteCounter
 	server, client := New(key, &counter), New(key, &counter)
 	defer server.Close()
 	defer client.Close()
--- a/internal/messenger/handshake.go
+++ b/internal/messenger/handshake.go
@@ -29,7 +29,7 @@
 )
 
 // handshakeClient authenticates both ends of conn, on the side that dialled. The client sends one byte for the purpose
-// under which the connection's bytes are metered, and a nonce. The server replies with its own nonce. Then the client
+// under which the connection's bytes are counted, and a nonce. The server replies with its own nonce. Then the client
 // and after it the server send a signature of both nonces.
 func handshakeClient(conn net.Conn, key *signer.Signer, purpose Purpose) error {
 	_ = conn.SetDeadline(time.Now().Add(handshakeTimeout))
--- a/internal/messenger/messenger.go
+++ b/internal/messenger/messenger.go
@@ -18,7 +18,7 @@
 	"github.com/marigoldrelay/marigoldrelay/internal/signer"
 )
 
-// Purpose is the kind of control traffic under which a connection's bytes are metered. There is a separate connection
+// Purpose is the kind of control traffic under which a connection's bytes are counted. There is a separate connection
 // for each purpose.
 type Purpose byte
 
@@ -29,7 +29,7 @@
 	PurposeMembership
 )
 
-// String implements fmt.Stringer. The text is the purpose that Meter.Count is called with.
+// String implements fmt.Stringer. The text is the purpose that ByteCounter.AddControlBytes is called with.
 func (p Purpose) String() string {
 	switch p {
 	case PurposeBinding:
@@ -61,17 +61,17 @@
 // the caller with its code and data.
 type Handler func(ctx context.Context, params json.RawMessage) (any, error)
 
-// Meter counts the bytes of control traffic.
-type Meter interface {
-	// Count adds the number of bytes sent for a purpose.
-	Count(purpose string, bytes int)
+// ByteCounter counts the bytes of control traffic.
+type ByteCounter interface {
+	// AddControlBytes adds the number of bytes sent for a purpose.
+	AddControlBytes(purpose string, bytes int)
 }
 
 // Messenger accepts control connections, and opens one for each peer address and purpose. It is safe for concurrent use.
 type Messenger struct {
 	handlers map[string]Handler
 	key      *signer.Signer
-	meter    Meter
+	counter  ByteCounter
 
 	mu       sync.Mutex
 	accepted map[*jsonrpc2.Conn]struct{}
@@ -93,14 +93,14 @@
 	ready chan struct{}
 }
 
-// New returns a messenger that signs with key and counts the sent bytes with meter. Handle must be called before Serve.
-func New(key *signer.Signer, meter Meter) *Messenger {
+// New returns a messenger that signs with key and counts the sent bytes with counter. Handle must be called before Serve.
+func New(key *signer.Signer, counter ByteCounter) *Messenger {
 	return &Messenger{
 		accepted: make(map[*jsonrpc2.Conn]struct{}),
 		outgoing: make(map[endpoint]*outgoingConn),
 		handlers: make(map[string]Handler),
 		key:      key,
-		meter:    meter,
+		counter:  counter,
 	}
 }
 
@@ -150,8 +150,8 @@
 
 // newConn returns a JSON-RPC connection over raw. Its calls are handled concurrently.
 func (m *Messenger) newConn(raw net.Conn, purpose Purpose) *jsonrpc2.Conn {
-	metered := &meteredConn{Conn: raw, meter: m.meter, purpose: purpose.String()}
-	stream := jsonrpc2.NewPlainObjectStream(metered)
+	counting := &countingConn{Conn: raw, counter: m.counter, purpose: purpose.String()}
+	stream := jsonrpc2.NewPlainObjectStream(counting)
 	handler := jsonrpc2.AsyncHandler(jsonrpc2.HandlerWithError(m.dispatch).SuppressErrClosed())
 	return jsonrpc2.NewConn(context.Background(), stream, handler, jsonrpc2.SetLogger(logger.Silent{}))
 }
@@ -300,16 +300,16 @@
 // segmentHeaderBytes is the size of the IP and TCP headers of the segment that carries a message.
 const segmentHeaderBytes = 40
 
-// meteredConn counts the bytes that are written to a connection.
-type meteredConn struct {
+// countingConn counts the bytes that are written to a connection.
+type countingConn struct {
 	net.Conn
-	meter   Meter
+	counter ByteCounter
 	purpose string
 }
 
 // Write implements net.Conn. It counts the sent bytes and the headers of one segment.
-func (c *meteredConn) Write(p []byte) (int, error) {
+func (c *countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
-	c.meter.Count(c.purpose, n+segmentHeaderBytes)
+	c.counter.AddControlBytes(c.purpose, n+segmentHeaderBytes)
 	return n, err
 }
--- a/internal/meter/meter.go
+++ b/internal/meter/meter.go
@@ -130,8 +130,8 @@
 	m.histograms.GetOrCreateHistogram("marigoldrelay_load_age_seconds").Update(loadAge.Seconds())
 }
 
-// Count implements messenger.Meter. It adds bytes of control traffic that were sent for a purpose.
-func (m *Meter) Count(purpose string, bytes int) {
+// AddControlBytes implements messenger.ByteCounter. It adds bytes of control traffic that were sent for a purpose.
+func (m *Meter) AddControlBytes(purpose string, bytes int) {
 	m.set.GetOrCreateCounter(fmt.Sprintf(`marigoldrelay_control_bytes_total{purpose=%q}`, purpose)).Add(bytes)
 }
 
--- a/internal/relayer/node.go
+++ b/internal/relayer/node.go
@@ -140,7 +140,7 @@
 	n.bindingBudget = budgeter.NewBytes(n.clock, bindingShare*defaultControlBytesPerSecond)
 	n.gossipBudget = budgeter.NewBytes(n.clock, gossipShare*defaultControlBytesPerSecond)
 	n.membershipBudget = budgeter.NewBytes(n.clock, membershipShare*defaultControlBytesPerSecond)
-	n.messenger = messenger.New(secrets.Key, controlByteMeter{n})
+	n.messenger = messenger.New(secrets.Key, controlByteCounter{n})
 	n.quarantiner = quarantiner.New(n.clock, n.requestQuarantined)
 	n.recorder = recorder.New(n.clock)
 	n.claimTable = claimer.NewTable(n.clock)
@@ -341,20 +341,20 @@
 	}
 }
 
-// controlByteMeter counts the bytes of control connections and charges those for binding and membership to their
+// controlByteCounter counts the bytes of control connections and charges those for binding and membership to their
 // budgets.
-type controlByteMeter struct {
+type controlByteCounter struct {
 	node *Node
 }
 
-// Count implements messenger.Meter.
-func (m controlByteMeter) Count(purpose string, bytes int) {
-	m.node.meter.Count(purpose, bytes)
+// AddControlBytes implements messenger.ByteCounter.
+func (c controlByteCounter) AddControlBytes(purpose string, bytes int) {
+	c.node.meter.AddControlBytes(purpose, bytes)
 	switch purpose {
 	case messenger.PurposeBinding.String():
-		m.node.bindingBudget.Charge(bytes)
+		c.node.bindingBudget.Charge(bytes)
 	case messenger.PurposeMembership.String():
-		m.node.membershipBudget.Charge(bytes)
+		c.node.membershipBudget.Charge(bytes)
 	}
 }
 
@@ -363,7 +363,7 @@
 	if n.udpConn == nil {
 		return
 	}
-	n.meter.Count("gossip", len(datagram)+datagramHeaderBytes)
+	n.meter.AddControlBytes("gossip", len(datagram)+datagramHeaderBytes)
 	n.gossipBudget.Charge(len(datagram) + datagramHeaderBytes)
 	// A failed send is treated like a lost datagram.
 	_, _ = n.udpConn.WriteToUDPAddrPort(datagram, to)
