--- a/internal/demonstrator/deployment.go
+++ b/internal/demonstrator/deployment.go
@@ -65,7 +65,7 @@
 // NewDeployment returns a deployment without nodes, with a new peer key and a new administration token.
 // Each node that is added starts with the document, unless it is nil, and with the options.
 func NewDeployment(document *validator.Document, options ...relayer.Option) (*Deployment, error) {
-	key, err := signer.New([]byte(settingsreader.NewSecret()))
+	peerSigner, err := signer.New([]byte(settingsreader.NewSecret()))
 	if err != nil {
 		return nil, err
 	}
@@ -78,7 +78,7 @@
 		document: document,
 		logs:     logs,
 		options:  options,
-		secrets:  &settingsreader.Secrets{AdminToken: []byte(settingsreader.NewSecret()), Key: key},
+		secrets:  &settingsreader.Secrets{AdminToken: []byte(settingsreader.NewSecret()), PeerSigner: peerSigner},
 	}, nil
 }
 
--- a/internal/relayer/forming_test.go
+++ b/internal/relayer/forming_test.go
@@ -37,11 +37,11 @@
 
 func newFormingCluster(t *testing.T, count int) *formingCluster {
 	t.Helper()
-	key, err := signer.New([]byte("a key for the tests only"))
+	peerSigner, err := signer.New([]byte("a key for the tests only"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &formingCluster{secrets: &settingsreader.Secrets{AdminToken: []byte("a token for the tests"), Key: key}, t: t}
+	c := &formingCluster{secrets: &settingsreader.Secrets{AdminToken: []byte("a token for the tests"), PeerSigner: peerSigner}, t: t}
 	var seeds []netip.AddrPort
 	for range count {
 		node := c.addNode()
--- a/internal/relayer/node.go
+++ b/internal/relayer/node.go
@@ -127,7 +127,7 @@
 		crashReplayQueue: make(chan gossiper.Member, crashReplayQueueLen),
 		tracker:          conntracker.New(),
 	}
-	n.events = newEventLog(n.clock, n.settings.LogLines, n.log, n.meter)
+	n.events = newEventLog(n.clock, n.settings.LogLinesPerSecond, n.log, n.meter)
 	n.peakNodes = newPeakNodeCount(n.clock)
 	n.interpreter = interpreter.Native{}
 	n.parseDocument = validator.Parse
@@ -140,7 +140,7 @@
 	n.bindingBudget = budgeter.NewBytes(n.clock, bindingShare*defaultControlBytesPerSecond)
 	n.gossipBudget = budgeter.NewBytes(n.clock, gossipShare*defaultControlBytesPerSecond)
 	n.membershipBudget = budgeter.NewBytes(n.clock, membershipShare*defaultControlBytesPerSecond)
-	n.messenger = messenger.New(secrets.Key, controlByteCounter{n})
+	n.messenger = messenger.New(secrets.PeerSigner, controlByteCounter{n})
 	n.quarantiner = quarantiner.New(n.clock, n.requestQuarantined)
 	n.recorder = recorder.New(n.clock)
 	n.claimTable = claimer.NewTable(n.clock)
@@ -179,7 +179,7 @@
 }
 
 func (n *Node) buildGossiper() error {
-	codec, err := gossiper.NewCodec(n.secrets.Key)
+	codec, err := gossiper.NewCodec(n.secrets.PeerSigner)
 	if err != nil {
 		return err
 	}
@@ -207,7 +207,7 @@
 
 func (n *Node) buildCallPath() {
 	sender := fmt.Sprintf("%s.%x", n.settings.Name, n.incarnation)
-	n.carrier = carrier.New(n.clock, n.secrets.Key, sender, n.gossiper, n.meter, n.peerOptions...)
+	n.carrier = carrier.New(n.clock, n.secrets.PeerSigner, sender, n.gossiper, n.meter, n.peerOptions...)
 	peers := &peerClient{
 		messenger: n.messenger, self: n.settings.Name, siblings: n.router.Members,
 		sendLoad: func(entries []string, load gossiper.Load) {
@@ -229,7 +229,7 @@
 		Sender:         n.carrier,
 		Siblings:       &siblingDirectory{Router: n.router, gossiper: n.gossiper},
 		AddContext: func(a *carrier.Attempt, req *fasthttp.Request, instance string, deadline time.Time) {
-			carrier.WriteContext(n.secrets.Key, a, req, deadline)
+			carrier.WriteContext(n.secrets.PeerSigner, a, req, deadline)
 			n.interpreter.WriteHop(&req.Header, interpreter.Hop{
 				Caller: a.Caller, Instance: instance, Timeout: deadline.Sub(n.clock.Now()),
 			})
@@ -248,7 +248,7 @@
 		Meter:           n.meter,
 		Name:            sender,
 		ReadContext: func(req *fasthttp.Request) (carrier.Context, bool) {
-			return carrier.ReadContext(n.secrets.Key, req)
+			return carrier.ReadContext(n.secrets.PeerSigner, req)
 		},
 		AttemptFinder: n.executor,
 		Retries:       budgeter.NewRetries(n.retryRatio),
--- a/internal/relayer/serve.go
+++ b/internal/relayer/serve.go
@@ -25,10 +25,10 @@
 // servePeer handles an attempt from another node or a query about the outcome of one.
 func (n *Node) servePeer(ctx context.Context, req *fasthttp.Request, resp *fasthttp.Response) {
 	if string(req.Header.RequestURI()) == carrier.ResolvePath {
-		carrier.ServeResolve(n.secrets.Key, n.clock, n.isOwnIncarnation, n.recorder, req, resp)
+		carrier.ServeResolve(n.secrets.PeerSigner, n.clock, n.isOwnIncarnation, n.recorder, req, resp)
 		return
 	}
-	attempt, err := carrier.ReadAttempt(n.secrets.Key, req)
+	attempt, err := carrier.ReadAttempt(n.secrets.PeerSigner, req)
 	if err != nil {
 		n.meter.Event("unsigned_attempts")
 		refuser.New(refuser.ReasonUnauthorized, err.Error()).Write(resp)
--- a/internal/relayer/virtual_test.go
+++ b/internal/relayer/virtual_test.go
@@ -89,7 +89,7 @@
 func (d *virtualDeployment) add(name, service string) *virtualNode {
 	d.t.Helper()
 	settings := &settingsreader.Settings{
-		Name: name, DataCentre: "here", Region: "here", LogLines: 1, TrustNetwork: true, UpstreamService: service,
+		Name: name, DataCentre: "here", Region: "here", LogLinesPerSecond: 1, TrustNetwork: true, UpstreamService: service,
 		UpstreamLease:  validator.Duration(time.Hour),
 		ControlAddress: netip.MustParseAddrPort(fmt.Sprintf("127.0.0.1:%d", 1000+len(d.names))),
 		PeerAddress:    netip.MustParseAddrPort(fmt.Sprintf("127.0.0.1:%d", 2000+len(d.names))),
--- a/internal/settingsreader/settings.go
+++ b/internal/settingsreader/settings.go
@@ -58,13 +58,12 @@
 	// GCPercent is how much the heap grows until the next garbage collection, in percent of the live heap.
 	GCPercent int           `json:"gc-percent"`
 	LogFormat logger.Format `json:"log-format"`
-	// LogLines is the largest number of lines per second that are logged about requests and other frequent
-	// events.
-	LogLines       int    `json:"log-lines-per-second"`
-	LogLevel       string `json:"log-level"`
-	MaxBodyBytes   int    `json:"max-body-bytes"`
-	MaxHeaderBytes int    `json:"max-header-bytes"`
-	Name           string `json:"name"`
+	// LogLinesPerSecond limits the lines that are logged about requests and other frequent events.
+	LogLinesPerSecond int    `json:"log-lines-per-second"`
+	LogLevel          string `json:"log-level"`
+	MaxBodyBytes      int    `json:"max-body-bytes"`
+	MaxHeaderBytes    int    `json:"max-header-bytes"`
+	Name              string `json:"name"`
 	// PeerAddress serves HTTP requests of other nodes, such as forwarded calls.
 	PeerAddress netip.AddrPort `json:"peer-address"`
 	// PeerKeyFile holds the shared key of all nodes.
@@ -109,13 +108,13 @@
 // ErrInvalid.
 func Parse(data []byte) (*Settings, error) {
 	settings := &Settings{
-		GCPercent:      DefaultGCPercent,
-		LogFormat:      logger.FormatLogfmt,
-		LogLevel:       DefaultLogLevel,
-		LogLines:       DefaultLogLinesPerSecond,
-		MaxBodyBytes:   DefaultMaxBodyBytes,
-		MaxHeaderBytes: DefaultMaxHeaderBytes,
-		UpstreamLease:  validator.Duration(registrar.LeaseTime),
+		GCPercent:         DefaultGCPercent,
+		LogFormat:         logger.FormatLogfmt,
+		LogLevel:          DefaultLogLevel,
+		LogLinesPerSecond: DefaultLogLinesPerSecond,
+		MaxBodyBytes:      DefaultMaxBodyBytes,
+		MaxHeaderBytes:    DefaultMaxHeaderBytes,
+		UpstreamLease:     validator.Duration(registrar.LeaseTime),
 	}
 	if err := validator.DecodeStrict(data, settings); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrInvalid, err)
@@ -168,8 +167,8 @@
 	if s.MaxHeaderBytes < minHeaderBytesLimit || s.MaxHeaderBytes > maxHeaderBytesLimit {
 		return invalidField("max-header-bytes", s.MaxHeaderBytes, fmt.Sprintf("want %d to %d", minHeaderBytesLimit, maxHeaderBytesLimit))
 	}
-	if s.LogLines < 1 || s.LogLines > maxLogLinesPerSecond {
-		return invalidField("log-lines-per-second", s.LogLines, fmt.Sprintf("want 1 to %d", maxLogLinesPerSecond))
+	if s.LogLinesPerSecond < 1 || s.LogLinesPerSecond > maxLogLinesPerSecond {
+		return invalidField("log-lines-per-second", s.LogLinesPerSecond, fmt.Sprintf("want 1 to %d", maxLogLinesPerSecond))
 	}
 	if _, err := logger.New(os.Stderr, s.LogFormat, s.LogLevel); err != nil {
 		return fmt.Errorf("%w: %w", ErrInvalid, err)
@@ -228,8 +227,8 @@
 type Secrets struct {
 	// AdminToken is the token that clients of the administration API present.
 	AdminToken []byte
-	// Key signs and verifies messages between nodes with the shared key.
-	Key *signer.Signer
+	// PeerSigner signs and verifies messages between nodes with the shared key.
+	PeerSigner *signer.Signer
 }
 
 // defaultPeerKey replaces the shared key if the settings name none. Signatures with this public value show that
@@ -256,7 +255,7 @@
 	if err != nil {
 		return nil, invalidField("peer-key-file", s.PeerKeyFile, err.Error())
 	}
-	return &Secrets{AdminToken: token, Key: peerSigner}, nil
+	return &Secrets{AdminToken: token, PeerSigner: peerSigner}, nil
 }
 
 // readSecret reads a secret of at least minBytes bytes from the file that the field names.
