--- a/internal/logger/logger.go
+++ b/internal/logger/logger.go
@@ -38,39 +38,39 @@
 	return log.With(base, "ts", log.DefaultTimestampUTC), nil
 }
 
-// Part is the logger of one part of the program. Each message starts with the part's name.
-type Part struct {
+// Component logs for one component of the program. Each message starts with the component's name.
+type Component struct {
 	base   log.Logger
 	prefix string
 }
 
-// NewPart returns the logger of the part called name.
-func NewPart(base log.Logger, name string) *Part {
-	return &Part{base: base, prefix: name + ": "}
+// NewComponent returns the logger of the component called name.
+func NewComponent(base log.Logger, name string) *Component {
+	return &Component{base: base, prefix: name + ": "}
 }
 
 // Debug logs a message with alternating keys and values.
-func (p *Part) Debug(message string, keyvals ...any) {
-	p.write(level.Debug(p.base), message, keyvals)
+func (c *Component) Debug(message string, keyvals ...any) {
+	c.write(level.Debug(c.base), message, keyvals)
 }
 
 // Error logs a message with alternating keys and values.
-func (p *Part) Error(message string, keyvals ...any) {
-	p.write(level.Error(p.base), message, keyvals)
+func (c *Component) Error(message string, keyvals ...any) {
+	c.write(level.Error(c.base), message, keyvals)
 }
 
 // Info logs a message with alternating keys and values.
-func (p *Part) Info(message string, keyvals ...any) {
-	p.write(level.Info(p.base), message, keyvals)
+func (c *Component) Info(message string, keyvals ...any) {
+	c.write(level.Info(c.base), message, keyvals)
 }
 
 // Warn logs a message with alternating keys and values.
-func (p *Part) Warn(message string, keyvals ...any) {
-	p.write(level.Warn(p.base), message, keyvals)
+func (c *Component) Warn(message string, keyvals ...any) {
+	c.write(level.Warn(c.base), message, keyvals)
 }
 
-func (p *Part) write(to log.Logger, message string, keyvals []any) {
-	line := append([]any{"msg", p.prefix + message}, keyvals...)
+func (c *Component) write(to log.Logger, message string, keyvals []any) {
+	line := append([]any{"msg", c.prefix + message}, keyvals...)
 	// A failure to log must not stop the work that the line describes.
 	_ = to.Log(line...)
 }
--- a/internal/relayer/eventlog.go
+++ b/internal/relayer/eventlog.go
@@ -32,7 +32,7 @@
 	clock timekeeper.Clock
 	// maxPerSecond is the limit on lines in one second.
 	maxPerSecond int
-	log          *logger.Part
+	log          *logger.Component
 	meter        *meter.Meter
 
 	mu      sync.Mutex
@@ -41,7 +41,7 @@
 	total   int
 }
 
-func newEventLog(clock timekeeper.Clock, maxPerSecond int, log *logger.Part, m *meter.Meter) *eventLog {
+func newEventLog(clock timekeeper.Clock, maxPerSecond int, log *logger.Component, m *meter.Meter) *eventLog {
 	return &eventLog{clock: clock, maxPerSecond: maxPerSecond, log: log, meter: m}
 }
 
--- a/internal/relayer/node.go
+++ b/internal/relayer/node.go
@@ -65,7 +65,7 @@
 	secrets  *settingsreader.Secrets
 	clock    timekeeper.Clock
 	baseLog  log.Logger
-	log      *logger.Part
+	log      *logger.Component
 
 	administrator    *administrator.Administrator
 	activateMu       sync.Mutex
@@ -122,7 +122,7 @@
 		clock:            timekeeper.System{},
 		differingPeers:   make(chan netip.AddrPort, 1),
 		baseLog:          baseLog,
-		log:              logger.NewPart(baseLog, "node"),
+		log:              logger.NewComponent(baseLog, "node"),
 		meter:            meter.New(),
 		crashReplayQueue: make(chan gossiper.Member, crashReplayQueueLen),
 		tracker:          conntracker.New(),
