--- a/internal/dispatcher/attempts.go
+++ b/internal/dispatcher/attempts.go
@@ -67,7 +67,7 @@
 		p.countArrival(&outcome)
 		reason, retryable := d.retryReason(call, p, &outcome, resp)
 		if !retryable && isOverBudget(&outcome) {
-			d.reportRetryRefused(call, p.Target, meter.RetryRefusalUpstream)
+			d.reportRetryRefused(call, p.Target, meter.RetryRefusalUpstreamBudget)
 		}
 		if !retryable || !d.admitRetry(call, p, &outcome) {
 			break
@@ -324,7 +324,7 @@
 	case refusal.Reason == refuser.ReasonQueueFull && p.QueueFullRefusals < maxQueueFullRefusals && !d.callerCanRetry(call):
 		return meter.RetryNotRun, true
 	case refusal.Reason == refuser.ReasonRetryBudget:
-		return meter.RetryElsewhere, p.OverBudget < maxOverBudget
+		return meter.RetryOverUpstreamBudget, p.OverBudget < maxOverBudget
 	case refusal.IsNotRun():
 		return meter.RetryNotRun, isLocalRefusal(refusal.Reason)
 	default:
--- a/internal/meter/meter.go
+++ b/internal/meter/meter.go
@@ -16,9 +16,9 @@
 
 // The reasons for retries and hedges.
 const (
-	// RetryElsewhere is the reason if a node did not accept the attempt because its upstream has reached its
+	// RetryOverUpstreamBudget is the reason if a node did not accept the attempt because its upstream has reached its
 	// limit of retries.
-	RetryElsewhere RetryReason = "over-upstream-budget"
+	RetryOverUpstreamBudget RetryReason = "over-upstream-budget"
 	// RetryFailed is the reason if an attempt of an idempotent request failed.
 	RetryFailed RetryReason = "idempotent-failed"
 	// RetryHandedBack is the reason if a node handed the attempt back.
@@ -44,9 +44,9 @@
 	RetryRefusalNested RetryRefusal = "spent-below"
 	// RetryRefusalTries is the reason if the call has used all its attempts.
 	RetryRefusalTries RetryRefusal = "tries"
-	// RetryRefusalUpstream is the reason if none of the nodes that were asked could accept the attempt within its
+	// RetryRefusalUpstreamBudget is the reason if none of the nodes that were asked could accept the attempt within its
 	// upstream's limit of retries.
-	RetryRefusalUpstream RetryRefusal = "upstream-budget"
+	RetryRefusalUpstreamBudget RetryRefusal = "upstream-budget"
 )
 
 // Meter holds the metrics of one node. It is safe for concurrent use.
@@ -64,10 +64,10 @@
 	for _, reason := range refuser.Reasons() {
 		m.refusalCounter(reason)
 	}
-	for _, reason := range []RetryReason{RetryElsewhere, RetryFailed, RetryHandedBack, RetryHedge, RetryNotRun, RetrySlow} {
+	for _, reason := range []RetryReason{RetryOverUpstreamBudget, RetryFailed, RetryHandedBack, RetryHedge, RetryNotRun, RetrySlow} {
 		m.retryCounter(reason)
 	}
-	for _, reason := range []RetryRefusal{RetryRefusalBudget, RetryRefusalDeadline, RetryRefusalNested, RetryRefusalTries, RetryRefusalUpstream} {
+	for _, reason := range []RetryRefusal{RetryRefusalBudget, RetryRefusalDeadline, RetryRefusalNested, RetryRefusalTries, RetryRefusalUpstreamBudget} {
 		m.retryRefusalCounter(reason)
 	}
 	return m
