--- a/internal/demonstrator/demonstrator.go
+++ b/internal/demonstrator/demonstrator.go
@@ -71,7 +71,7 @@
 func addNodes(ctx context.Context, d *Deployment) error {
 	for i := range nodeCount {
 		dataCentre := []string{"flacq", "moka"}[i%2]
-		_, err := d.Add(Place{
+		_, err := d.Add(NodeSpec{
 			Behaviour:  responder.Behaviour{ServiceTime: serviceTime, Slots: upstreamSlots},
 			DataCentre: dataCentre,
 			Name:       fmt.Sprintf("%s-%d", dataCentre, i),
@@ -88,7 +88,7 @@
 
 // printInstructions prints how to send a request to the first node and how to read its state and metrics.
 func printInstructions(out io.Writer, d *Deployment) {
-	first := d.Station(0).Settings
+	first := d.Node(0).Settings
 	_, _ = fmt.Fprintf(out, "%d nodes in 2 data centres serve entries and booking.\n", nodeCount)
 	_, _ = fmt.Fprintf(out, "Send a request:  curl -i http://%s/entries\n", first.CallerAddress)
 	_, _ = fmt.Fprintf(out, "See the state:   curl -H 'Authorization: Bearer %s' http://%s%s\n",
@@ -114,7 +114,7 @@
 		Prefix:      "demo",
 		Rate:        requestRate,
 		Seed:        1,
-		Targets:     d.Callers(),
+		Targets:     d.CallerAddresses(),
 		Timeout:     requestTimeout,
 	}, nil)
 	ranks := ranksByKind(d, kinds)
--- a/internal/demonstrator/deployment.go
+++ b/internal/demonstrator/deployment.go
@@ -28,8 +28,8 @@
 
 const region = "mauritius"
 
-// Place configures one node of a deployment and the stand-in upstream beside it.
-type Place struct {
+// NodeSpec configures one node of a deployment and the stand-in upstream beside it.
+type NodeSpec struct {
 	// Behaviour is how the upstream answers.
 	Behaviour  responder.Behaviour
 	DataCentre string
@@ -50,13 +50,13 @@
 	logs     log.Logger
 	options  []relayer.Option
 	secrets  *settingsreader.Secrets
-	stations []*Station
+	nodes    []*DeployedNode
 }
 
-// Station is one node of a deployment and the upstream beside it.
-type Station struct {
+// DeployedNode is one node of a deployment and the upstream beside it.
+type DeployedNode struct {
 	Node     *relayer.Node
-	Place    Place
+	Spec     NodeSpec
 	Settings *settingsreader.Settings
 	// Upstream is nil for a node without an upstream.
 	Upstream *responder.Responder
@@ -87,71 +87,71 @@
 	return string(d.secrets.AdminToken)
 }
 
-// Station returns the i-th station, counted from 0 in the order of the calls of Add.
-func (d *Deployment) Station(i int) *Station {
-	return d.stations[i]
+// Node returns the i-th node, counted from 0 in the order of the calls of Add.
+func (d *Deployment) Node(i int) *DeployedNode {
+	return d.nodes[i]
 }
 
-// Stations returns all stations in the order of the calls of Add.
-func (d *Deployment) Stations() []*Station {
-	return d.stations
+// Nodes returns all nodes in the order of the calls of Add.
+func (d *Deployment) Nodes() []*DeployedNode {
+	return d.nodes
 }
 
-// Callers returns the caller addresses of all nodes, that is, the addresses on which they take calls.
-func (d *Deployment) Callers() []netip.AddrPort {
-	var callers []netip.AddrPort
-	for _, station := range d.stations {
-		callers = append(callers, station.Settings.CallerAddress)
+// CallerAddresses returns the addresses on which the nodes accept calls.
+func (d *Deployment) CallerAddresses() []netip.AddrPort {
+	var addresses []netip.AddrPort
+	for _, deployed := range d.nodes {
+		addresses = append(addresses, deployed.Settings.CallerAddress)
 	}
-	return callers
+	return addresses
 }
 
-// Add starts a node on free loopback addresses and, if the place names a service, its upstream.
-func (d *Deployment) Add(place Place) (*Station, error) {
+// Add starts a node on free loopback addresses and, if the spec names a service, its upstream.
+func (d *Deployment) Add(spec NodeSpec) (*DeployedNode, error) {
 	addresses, err := FreeAddresses(5)
 	if err != nil {
 		return nil, err
 	}
-	station := &Station{
-		Place: place,
+	deployed := &DeployedNode{
+		Spec: spec,
 		Settings: &settingsreader.Settings{
 			AdminAddress:    addresses[0],
 			AnnounceAddress: addresses[1],
 			CallerAddress:   addresses[2],
 			ControlAddress:  addresses[3],
-			DataCentre:      place.DataCentre,
-			DataFolder:      place.DataFolder,
+			DataCentre:      spec.DataCentre,
+			DataFolder:      spec.DataFolder,
 			MaxBodyBytes:    settingsreader.DefaultMaxBodyBytes,
 			MaxHeaderBytes:  settingsreader.DefaultMaxHeaderBytes,
-			Name:            place.Name,
+			Name:            spec.Name,
 			PeerAddress:     addresses[4],
 			Region:          region,
 			Seeds:           d.seeds(),
 			UpstreamLease:   validator.Duration(registrar.LeaseTime),
 		},
 	}
-	if err := d.StartNode(station); err != nil {
+	if err := d.StartNode(deployed); err != nil {
 		return nil, err
 	}
-	d.stations = append(d.stations, station)
-	if place.Service == "" {
-		return station, nil
+	d.nodes = append(d.nodes, deployed)
+	if spec.Service == "" {
+		return deployed, nil
 	}
-	return station, d.StartUpstream(station)
+	return deployed, d.StartUpstream(deployed)
 }
 
 // seeds returns the control addresses of the first two nodes.
 func (d *Deployment) seeds() []netip.AddrPort {
 	var seeds []netip.AddrPort
-	for _, station := range d.stations[:min(2, len(d.stations))] {
-		seeds = append(seeds, station.Settings.ControlAddress)
+	for _, deployed := range d.nodes[:min(2, len(d.nodes))] {
+		seeds = append(seeds, deployed.Settings.ControlAddress)
 	}
 	return seeds
 }
 
-// StartNode creates and starts the station's node. It also restarts the node after it was closed.
-func (d *Deployment) StartNode(station *Station) error {
-	node, err := relayer.New(station.Settings, d.secrets, d.logs, d.options...)
+// StartNode creates and starts the relayer node of a deployed node. It also restarts the node after it was closed.
+func (d *Deployment) StartNode(deployed *DeployedNode) error {
+	node, err := relayer.New(deployed.Settings, d.secrets, d.logs, d.options...)
 	if err != nil {
 		return err
 	}
@@ -161,30 +161,30 @@
 	if err := node.Start(); err != nil {
 		return err
 	}
-	station.Node = node
+	deployed.Node = node
 	return nil
 }
 
-// StartUpstream creates and starts the station's upstream on a free port. It also restarts the upstream
+// StartUpstream creates and starts the upstream of a deployed node on a free port. It also restarts the upstream
 // after it was stopped.
-func (d *Deployment) StartUpstream(station *Station) error {
+func (d *Deployment) StartUpstream(deployed *DeployedNode) error {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
 	upstream, err := responder.New(listener, responder.Config{
-		Behaviour: station.Place.Behaviour,
+		Behaviour: deployed.Spec.Behaviour,
 		Journal:   d.Journal,
-		Node:      station.Settings.AnnounceAddress,
-		OnCrash:   func() { station.Upstream.Crash() },
-		Seed:      uint64(len(d.stations)),
-		Service:   station.Place.Service,
+		Node:      deployed.Settings.AnnounceAddress,
+		OnCrash:   func() { deployed.Upstream.Crash() },
+		Seed:      uint64(len(d.nodes)),
+		Service:   deployed.Spec.Service,
 	})
 	if err != nil {
 		_ = listener.Close()
 		return err
 	}
-	station.Upstream = upstream
+	deployed.Upstream = upstream
 	upstream.Start()
 	return nil
 }
@@ -203,9 +203,9 @@
 
 // isServing reports whether every node sees exactly count serving members.
 func (d *Deployment) isServing(count int) bool {
-	for _, station := range d.stations {
+	for _, deployed := range d.nodes {
 		serving := 0
-		for _, m := range station.Node.Status().Members {
+		for _, m := range deployed.Node.Status().Members {
 			if m.IsServing() {
 				serving++
 			}
@@ -219,13 +219,13 @@
 
 // Close stops all upstreams, then closes all nodes.
 func (d *Deployment) Close() {
-	for _, station := range d.stations {
-		if station.Upstream != nil {
-			station.Upstream.Stop()
+	for _, deployed := range d.nodes {
+		if deployed.Upstream != nil {
+			deployed.Upstream.Stop()
 		}
 	}
-	for _, station := range d.stations {
-		station.Node.Close()
+	for _, deployed := range d.nodes {
+		deployed.Node.Close()
 	}
 }
 
--- a/internal/relayer/activation_test.go
+++ b/internal/relayer/activation_test.go
@@ -21,15 +21,15 @@
 
 // putDocument makes a version of the document through a node's administration API. A base of 0 makes the first
 // version.
-func putDocument(tb testing.TB, d *demonstrator.Deployment, station *demonstrator.Station, base uint64, id string) {
+func putDocument(tb testing.TB, d *demonstrator.Deployment, deployed *demonstrator.DeployedNode, base uint64, id string) {
 	tb.Helper()
 	document, err := demonstrator.Document()
 	if err != nil {
 		tb.Fatal(err)
 	}
-	for _, one := range d.Stations() {
+	for _, one := range d.Nodes() {
 		if disk := one.Node.Status().DiskID; disk != "" {
-			document.ControlReplicas = append(document.ControlReplicas, validator.ControlReplica{DiskID: disk, VM: one.Place.Name})
+			document.ControlReplicas = append(document.ControlReplicas, validator.ControlReplica{DiskID: disk, VM: one.Spec.Name})
 		}
 	}
 	text, err := json.Marshal(document)
@@ -48,7 +48,7 @@
 		req.Header.Set(fasthttp.HeaderIfNoneMatch, "*")
 	}
 	req.SetBody(text)
-	pool := forwarder.New(station.Settings.AdminAddress, timekeeper.System{})
+	pool := forwarder.New(deployed.Settings.AdminAddress, timekeeper.System{})
 	defer pool.Close()
 	err = pool.Do(context.Background(), &forwarder.Exchange{Deadline: time.Now().Add(10 * time.Second), Request: req, Response: resp})
 	if err != nil || resp.StatusCode() != fasthttp.StatusOK {
@@ -60,10 +60,10 @@
 func awaitVersion(tb testing.TB, d *demonstrator.Deployment, version uint64) time.Duration {
 	tb.Helper()
 	started := time.Now()
-	for _, station := range d.Stations() {
-		for station.Node.Status().DocumentVersion < version {
+	for _, deployed := range d.Nodes() {
+		for deployed.Node.Status().DocumentVersion < version {
 			if time.Since(started) > activationBound {
-				tb.Fatalf("%s has version %d after %s", station.Place.Name, station.Node.Status().DocumentVersion, activationBound)
+				tb.Fatalf("%s has version %d after %s", deployed.Spec.Name, deployed.Node.Status().DocumentVersion, activationBound)
 			}
 			time.Sleep(time.Millisecond)
 		}
@@ -81,21 +81,21 @@
 	}
 	defer d.Close()
 	for i := range count {
-		place := demonstrator.Place{DataCentre: fmt.Sprintf("dc%d", i%7), Name: fmt.Sprintf("n%d", i)}
+		spec := demonstrator.NodeSpec{DataCentre: fmt.Sprintf("dc%d", i%7), Name: fmt.Sprintf("n%d", i)}
 		if i < replicas {
-			place.DataFolder = b.TempDir()
+			spec.DataFolder = b.TempDir()
 		}
-		addStation(b, d, place)
+		addNode(b, d, spec)
 	}
-	for len(d.Station(count-1).Node.Status().Members) < count {
+	for len(d.Node(count-1).Node.Status().Members) < count {
 		time.Sleep(10 * time.Millisecond)
 	}
-	putDocument(b, d, d.Station(count-1), 0, "first")
+	putDocument(b, d, d.Node(count-1), 0, "first")
 	awaitVersion(b, d, 1)
 	var worst time.Duration
 	b.ResetTimer()
 	for version := uint64(1); version <= uint64(b.N); version++ {
-		putDocument(b, d, d.Station(int(version)%count), version, fmt.Sprintf("c%d", version))
+		putDocument(b, d, d.Node(int(version)%count), version, fmt.Sprintf("c%d", version))
 		worst = max(worst, awaitVersion(b, d, version+1))
 	}
 	b.ReportMetric(float64(worst.Milliseconds()), "worst-ms")
--- a/internal/relayer/atmostonce_test.go
+++ b/internal/relayer/atmostonce_test.go
@@ -27,7 +27,7 @@
 // target nodes.
 type testCluster struct {
 	*demonstrator.Deployment
-	entry   *demonstrator.Station
+	entry   *demonstrator.DeployedNode
 	t       *testing.T
 	network *proxyNetwork
 }
@@ -45,9 +45,9 @@
 	}
 	t.Cleanup(d.Close)
 	c := &testCluster{Deployment: d, t: t, network: network}
-	c.entry = addStation(t, d, demonstrator.Place{DataCentre: "flacq", Name: "entry"})
+	c.entry = addNode(t, d, demonstrator.NodeSpec{DataCentre: "flacq", Name: "entry"})
 	for i := range targets {
-		addStation(t, d, demonstrator.Place{
+		addNode(t, d, demonstrator.NodeSpec{
 			Behaviour: behaviour, DataCentre: "flacq", Name: fmt.Sprintf("target-%d", i), Service: "entries",
 		})
 	}
@@ -198,7 +198,7 @@
 // the outcome is unknown.
 func TestAtMostOnceWhenTargetDies(t *testing.T) {
 	c := newTestCluster(t, 1, responder.Behaviour{ServiceTime: 500 * time.Millisecond, Slots: 4, Steady: true})
-	target := c.Station(1)
+	target := c.Node(1)
 	restarted := make(chan struct{})
 	time.AfterFunc(150*time.Millisecond, func() {
 		defer close(restarted)
@@ -225,8 +225,8 @@
 	crashed := make(chan struct{})
 	time.AfterFunc(150*time.Millisecond, func() {
 		defer close(crashed)
-		c.Station(1).Upstream.Crash()
-		c.Station(2).Upstream.Crash()
+		c.Node(1).Upstream.Crash()
+		c.Node(2).Upstream.Crash()
 	})
 	got := c.post("crashed", 4*time.Second)
 	<-crashed
@@ -240,7 +240,7 @@
 // The request must run once, and all repeats must get its answer.
 func TestIdempotencyKeyRunsOnce(t *testing.T) {
 	c := newTestCluster(t, 3, responder.Behaviour{ServiceTime: 100 * time.Millisecond, Slots: 4, Steady: true})
-	other := c.Station(1).Settings.CallerAddress
+	other := c.Node(1).Settings.CallerAddress
 	var calls sync.WaitGroup
 	results := make([]callResult, 4)
 	for i := range results {
@@ -294,7 +294,7 @@
 		}
 	})
 	<-first
-	got := sendCall(t, c.Station(2).Settings.CallerAddress, fasthttp.MethodPost, "orphan", "key-2", 4*time.Second)
+	got := sendCall(t, c.Node(2).Settings.CallerAddress, fasthttp.MethodPost, "orphan", "key-2", 4*time.Second)
 	c.checkAtMostOnce("orphan", got)
 	if !got.answered && got.problem.NotRun == refuser.NotRunTrue {
 		t.Errorf("got %s, want the answer or an unknown outcome", got)
@@ -323,7 +323,7 @@
 			t.Errorf("the caller got the header %s", name)
 		}
 	}
-	peer := forwarder.New(c.Station(1).Settings.PeerAddress, timekeeper.System{})
+	peer := forwarder.New(c.Node(1).Settings.PeerAddress, timekeeper.System{})
 	defer peer.Close()
 	if err := peer.Do(t.Context(), &forwarder.Exchange{Deadline: time.Now().Add(5 * time.Second), Request: req, Response: resp}); err != nil {
 		t.Fatal(err)
--- a/internal/relayer/bench_test.go
+++ b/internal/relayer/bench_test.go
@@ -29,24 +29,24 @@
 		b.Fatal(err)
 	}
 	defer d.Close()
-	entry := addStation(b, d, demonstrator.Place{DataCentre: "flacq", Name: "entry"})
+	entry := addNode(b, d, demonstrator.NodeSpec{DataCentre: "flacq", Name: "entry"})
 	behaviour := responder.Behaviour{Slots: 256, Steady: true}
-	addStation(b, d, demonstrator.Place{Behaviour: behaviour, DataCentre: "flacq", Name: "target", Service: "entries"})
+	addNode(b, d, demonstrator.NodeSpec{Behaviour: behaviour, DataCentre: "flacq", Name: "target", Service: "entries"})
 	awaitServing(b, d, 1)
-	upstream := d.Station(1).Node.Status().Executor.Announcement.Address
+	upstream := d.Node(1).Node.Status().Executor.Announcement.Address
 	for _, callers := range []int{1, 16, 128} {
 		b.Run(fmt.Sprintf("direct/%d", callers), func(b *testing.B) { benchmarkCalls(b, netip.MustParseAddrPort(upstream), callers) })
 		b.Run(fmt.Sprintf("relayed/%d", callers), func(b *testing.B) { benchmarkCalls(b, entry.Settings.CallerAddress, callers) })
 	}
 }
 
-func addStation(tb testing.TB, d *demonstrator.Deployment, place demonstrator.Place) *demonstrator.Station {
+func addNode(tb testing.TB, d *demonstrator.Deployment, spec demonstrator.NodeSpec) *demonstrator.DeployedNode {
 	tb.Helper()
-	station, err := d.Add(place)
+	deployed, err := d.Add(spec)
 	if err != nil {
 		tb.Fatal(err)
 	}
-	return station
+	return deployed
 }
 
 func awaitServing(tb testing.TB, d *demonstrator.Deployment, count int) {
--- a/internal/relayer/budget_test.go
+++ b/internal/relayer/budget_test.go
@@ -35,7 +35,7 @@
 	}
 	defer d.Close()
 	for i := range count {
-		addStation(t, d, demonstrator.Place{
+		addNode(t, d, demonstrator.NodeSpec{
 			Behaviour:  responder.Behaviour{ServiceTime: 140 * time.Millisecond, Slots: 12},
 			DataCentre: fmt.Sprintf("dc%d", i%2), Name: fmt.Sprintf("n%d", i), Service: "entries",
 		})
@@ -46,10 +46,10 @@
 	var churn sync.WaitGroup
 	churn.Go(func() {
 		for i := 1; !stop.Load(); i = 1 + i%(count-1) {
-			station := d.Station(i)
-			station.Upstream.Crash()
+			deployed := d.Node(i)
+			deployed.Upstream.Crash()
 			time.Sleep(250 * time.Millisecond)
-			if err := d.StartUpstream(station); err != nil {
+			if err := d.StartUpstream(deployed); err != nil {
 				t.Error(err)
 			}
 			time.Sleep(250 * time.Millisecond)
@@ -58,7 +58,7 @@
 	g := loadgenerator.New(timekeeper.System{}, loadgenerator.Config{
 		AnswerBytes: 200, Duration: measured, Prefix: "budget", Rate: 3 * capacity * count, Seed: 1,
 		Kinds:   []loadgenerator.Kind{{Method: "GET", Path: "/entries", Weight: 1}, {Method: "GET", Path: "/archive", Weight: 1}},
-		Targets: d.Callers(), Timeout: 10 * time.Second,
+		Targets: d.CallerAddresses(), Timeout: 10 * time.Second,
 	}, nil)
 	g.Run(t.Context())
 	stop.Store(true)
--- a/internal/relayer/cancel_test.go
+++ b/internal/relayer/cancel_test.go
@@ -55,7 +55,7 @@
 // upstream. Since the request is idempotent, it must be cancelled there.
 func TestCallerDisconnectsWhileRunning(t *testing.T) {
 	c := newTestCluster(t, 0, responder.Behaviour{})
-	target := addStation(t, c.Deployment, demonstrator.Place{DataCentre: "flacq", Name: "target"})
+	target := addNode(t, c.Deployment, demonstrator.NodeSpec{DataCentre: "flacq", Name: "target"})
 	began, closed := startHangingUpstream(t, target.Settings.AnnounceAddress)
 	awaitServing(t, c.Deployment, 1)
 	conn, err := net.Dial("tcp", c.entry.Settings.CallerAddress.String())
@@ -82,7 +82,7 @@
 // node. The request must leave that queue and never run.
 func TestCallerDisconnectsWhileQueued(t *testing.T) {
 	c := newTestCluster(t, 0, responder.Behaviour{})
-	target := addStation(t, c.Deployment, demonstrator.Place{DataCentre: "flacq", Name: "target"})
+	target := addNode(t, c.Deployment, demonstrator.NodeSpec{DataCentre: "flacq", Name: "target"})
 	began, _ := startHangingUpstream(t, target.Settings.AnnounceAddress)
 	awaitServing(t, c.Deployment, 1)
 	sendRequest := func() net.Conn {
--- a/internal/relayer/capacity_test.go
+++ b/internal/relayer/capacity_test.go
@@ -40,9 +40,9 @@
 // controlBytesOf returns the control bytes of all nodes together, by purpose.
 func controlBytesOf(d *demonstrator.Deployment) map[string]float64 {
 	sums := make(map[string]float64)
-	for _, station := range d.Stations() {
+	for _, deployed := range d.Nodes() {
 		var text bytes.Buffer
-		station.Node.Meter().Write(&text)
+		deployed.Node.Meter().Write(&text)
 		for _, match := range controlBytes.FindAllStringSubmatch(text.String(), -1) {
 			count, err := strconv.ParseFloat(match[2], 64)
 			if err == nil {
@@ -84,11 +84,11 @@
 	// 12 slots of 125 ms give 96 calls a second, of which 86 are 90%.
 	behaviour := responder.Behaviour{ServiceTime: 125 * time.Millisecond, Slots: 12}
 	for i := range count {
-		place := demonstrator.Place{DataCentre: fmt.Sprintf("dc%d", i%7), Name: fmt.Sprintf("n%d", i)}
+		spec := demonstrator.NodeSpec{DataCentre: fmt.Sprintf("dc%d", i%7), Name: fmt.Sprintf("n%d", i)}
 		if callsPerNode > 0 {
-			place.Service, place.Behaviour = "entries", behaviour
+			spec.Service, spec.Behaviour = "entries", behaviour
 		}
-		addStation(b, d, place)
+		addNode(b, d, spec)
 	}
 	serving := 0
 	if callsPerNode > 0 {
@@ -100,7 +100,7 @@
 	if callsPerNode > 0 {
 		g := loadgenerator.New(timekeeper.System{}, loadgenerator.Config{
 			AnswerBytes: 200, Duration: measured, Kinds: []loadgenerator.Kind{{Method: "GET", Path: "/entries", Weight: 1}},
-			Prefix: "capacity", Rate: callsPerNode * float64(count), Seed: 1, Targets: d.Callers(), Timeout: 10 * time.Second,
+			Prefix: "capacity", Rate: callsPerNode * float64(count), Seed: 1, Targets: d.CallerAddresses(), Timeout: 10 * time.Second,
 		}, nil)
 		g.Run(b.Context())
 		for _, r := range g.Results() {
--- a/internal/relayer/poison_test.go
+++ b/internal/relayer/poison_test.go
@@ -42,7 +42,7 @@
 		requestStatus(t, pool, "/entries/poison", true)
 		time.Sleep(50 * time.Millisecond)
 	}
-	later := addStation(t, c.Deployment, demonstrator.Place{Behaviour: behaviour, DataCentre: "flacq", Name: "later", Service: "entries"})
+	later := addNode(t, c.Deployment, demonstrator.NodeSpec{Behaviour: behaviour, DataCentre: "flacq", Name: "later", Service: "entries"})
 	serves := func() bool {
 		m, ok := c.entry.Node.Member("later")
 		return ok && m.IsServing()
@@ -70,8 +70,8 @@
 	defer pool.Close()
 	send := func(path string, poison bool) int { return requestStatus(t, pool, path, poison) }
 	crashed := func() (count int) {
-		for _, station := range c.Stations()[1:] {
-			if station.Upstream.HasCrashed() {
+		for _, deployed := range c.Nodes()[1:] {
+			if deployed.Upstream.HasCrashed() {
 				count++
 			}
 		}
--- a/internal/relayer/silent_test.go
+++ b/internal/relayer/silent_test.go
@@ -46,7 +46,7 @@
 				return results
 			}
 			run("warm")
-			if got := c.network.silence(c.Station(1).Settings.PeerAddress, count); got != count {
+			if got := c.network.silence(c.Node(1).Settings.PeerAddress, count); got != count {
 				t.Fatalf("%d connections were open, want at least %d", got, count)
 			}
 			harmed, worst := 0, time.Duration(0)
@@ -63,7 +63,7 @@
 			if harmed > 2*count {
 				t.Errorf("%d calls were harmed by %d silent connections", harmed, count)
 			}
-			if m, _ := c.entry.Node.Member(c.Station(1).Place.Name); !m.IsServing() {
+			if m, _ := c.entry.Node.Member(c.Node(1).Spec.Name); !m.IsServing() {
 				t.Error("the server was marked down")
 			}
 		})
--- a/internal/relayer/soak_test.go
+++ b/internal/relayer/soak_test.go
@@ -34,7 +34,7 @@
 	mu       sync.Mutex
 	random   *rand.Rand
 	outcomes map[string]int
-	// faultLocks keep a station from getting two faults at once.
+	// faultLocks keep a node from getting two faults at once.
 	faultLocks []sync.Mutex
 }
 
@@ -115,15 +115,15 @@
 	i := 1 + s.randomInt(soakTargets)
 	s.faultLocks[i].Lock()
 	defer s.faultLocks[i].Unlock()
-	station := s.Station(i)
+	deployed := s.Node(i)
 	pause := time.Duration(50+s.randomInt(400)) * time.Millisecond
 	kinds := map[string]func(){
-		"cut":       func() { s.network.cutTo(station.Settings.PeerAddress) },
-		"crash":     func() { s.crash(station, pause) },
-		"fail fast": func() { s.changeBehaviour(station, pause, func(b *responder.Behaviour) { b.FailFast = true }) },
-		"kill node": func() { s.killNode(station, pause) },
-		"silence":   func() { s.network.silence(station.Settings.PeerAddress, 1+s.randomInt(4)) },
-		"straggle":  func() { s.changeBehaviour(station, pause, func(b *responder.Behaviour) { b.StraggleFactor = 10 }) },
+		"cut":       func() { s.network.cutTo(deployed.Settings.PeerAddress) },
+		"crash":     func() { s.crash(deployed, pause) },
+		"fail fast": func() { s.changeBehaviour(deployed, pause, func(b *responder.Behaviour) { b.FailFast = true }) },
+		"kill node": func() { s.killNode(deployed, pause) },
+		"silence":   func() { s.network.silence(deployed.Settings.PeerAddress, 1+s.randomInt(4)) },
+		"straggle":  func() { s.changeBehaviour(deployed, pause, func(b *responder.Behaviour) { b.StraggleFactor = 10 }) },
 	}
 	name := []string{"cut", "crash", "fail fast", "kill node", "silence", "straggle"}[s.randomInt(len(kinds))]
 	s.mu.Lock()
@@ -133,27 +133,27 @@
 	time.Sleep(pause)
 }
 
-func (s *soak) changeBehaviour(station *demonstrator.Station, pause time.Duration, change func(*responder.Behaviour)) {
-	usual := station.Upstream.Behaviour()
+func (s *soak) changeBehaviour(deployed *demonstrator.DeployedNode, pause time.Duration, change func(*responder.Behaviour)) {
+	usual := deployed.Upstream.Behaviour()
 	changed := usual
 	change(&changed)
-	station.Upstream.SetBehaviour(changed)
+	deployed.Upstream.SetBehaviour(changed)
 	time.Sleep(pause)
-	station.Upstream.SetBehaviour(usual)
+	deployed.Upstream.SetBehaviour(usual)
 }
 
-func (s *soak) crash(station *demonstrator.Station, pause time.Duration) {
-	station.Upstream.Crash()
+func (s *soak) crash(deployed *demonstrator.DeployedNode, pause time.Duration) {
+	deployed.Upstream.Crash()
 	time.Sleep(pause)
-	if err := s.StartUpstream(station); err != nil {
+	if err := s.StartUpstream(deployed); err != nil {
 		s.t.Error(err)
 	}
 }
 
-func (s *soak) killNode(station *demonstrator.Station, pause time.Duration) {
-	station.Node.Abort()
+func (s *soak) killNode(deployed *demonstrator.DeployedNode, pause time.Duration) {
+	deployed.Node.Abort()
 	time.Sleep(pause)
-	if err := s.StartNode(station); err != nil {
+	if err := s.StartNode(deployed); err != nil {
 		s.t.Error(err)
 	}
 }
