--- a/internal/asserter/asserter.go
+++ b/internal/asserter/asserter.go
@@ -15,10 +15,10 @@
 	failureHandler atomic.Pointer[func(name, detail string)]
 )
 
-// Observe sets the function that is called, after the failure was counted, when an invariant fails in
+// SetFailureHandler sets the function that is called, after the failure was counted, when an invariant fails in
 // production. It replaces the function that was set before. Under a test a failure panics regardless.
 // It is safe for concurrent use.
-func Observe(f func(name, detail string)) {
+func SetFailureHandler(f func(name, detail string)) {
 	failureHandler.Store(&f)
 }
 
@@ -28,7 +28,7 @@
 }
 
 // That reports a failure of the named invariant unless holds is true. Under a test a failure panics. In
-// production it is counted, here and in a metric, and passed to the function set by Observe, with the
+// production it is counted, here and in a metric, and passed to the function set by SetFailureHandler, with the
 // formatted detail. That returns holds, so that callers can fail safe.
 func That(holds bool, name, format string, args ...any) bool {
 	if holds {
--- a/internal/relayer/node.go
+++ b/internal/relayer/node.go
@@ -167,7 +167,7 @@
 	})
 	n.addMessageHandlers()
 	n.registerGauges()
-	asserter.Observe(func(name, detail string) {
+	asserter.SetFailureHandler(func(name, detail string) {
 		n.log.Error("An invariant failed.", "invariant", name, "detail", detail)
 	})
 	return n, nil
