--- a/internal/claimer/claimer_test.go
+++ b/internal/claimer/claimer_test.go
@@ -22,7 +22,7 @@
 )
 
 func init() {
-	seeder.Fix(200, 20)
+	seeder.SetFlagDefaults(200, 20)
 }
 
 var errMessageLost = errors.New("message lost")
@@ -178,7 +178,7 @@
 		t.Fatal(err)
 	}
 	synctest.Test(t, func(t *testing.T) {
-		rapid.Check(seeder.InBubble(t), func(rt *rapid.T) {
+		rapid.Check(seeder.WithoutDeadline(t), func(rt *rapid.T) {
 			r := &repeatedRequest{testOwners: newTestOwners()}
 			if rapid.Bool().Draw(rt, "old") {
 				time.Sleep(Retention)
--- a/internal/recorder/recorder_test.go
+++ b/internal/recorder/recorder_test.go
@@ -12,7 +12,7 @@
 )
 
 func init() {
-	seeder.Fix(500, 60)
+	seeder.SetFlagDefaults(500, 60)
 }
 
 // manualClock is a clock that a test advances.
--- a/internal/replicator/model_test.go
+++ b/internal/replicator/model_test.go
@@ -130,7 +130,7 @@
 }
 
 func runRegisterModel(t *testing.T) {
-	rapid.Check(seeder.InBubble(t), func(rt *rapid.T) {
+	rapid.Check(seeder.WithoutDeadline(t), func(rt *rapid.T) {
 		m := &registerModel{
 			cluster: newCluster(t, "a", "b", "c"),
 			results: make(map[string]uint64),
--- a/internal/replicator/reconfiguration_test.go
+++ b/internal/replicator/reconfiguration_test.go
@@ -238,7 +238,7 @@
 // register after each.
 func TestRegisterModelReconfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		rapid.Check(seeder.InBubble(t), func(rt *rapid.T) {
+		rapid.Check(seeder.WithoutDeadline(t), func(rt *rapid.T) {
 			vms := []string{"a", "b", "c", "d", "e"}
 			m := &reconfigurationModel{usedVMs: vms, cluster: newCluster(t, vms...), texts: map[uint64]string{0: ""}}
 			created, err := m.proposer("former", nil).CreateEmpty(context.Background(), m.cluster.replicas("a", "b", "c"))
--- a/internal/replicator/replicator_test.go
+++ b/internal/replicator/replicator_test.go
@@ -16,7 +16,7 @@
 )
 
 func init() {
-	seeder.Fix(60, 25)
+	seeder.SetFlagDefaults(60, 25)
 }
 
 var (
--- a/internal/scheduler/model_test.go
+++ b/internal/scheduler/model_test.go
@@ -11,7 +11,7 @@
 )
 
 func init() {
-	seeder.Fix(1000, 60)
+	seeder.SetFlagDefaults(1000, 60)
 }
 
 // machine calls a scheduler at random and tracks the waiters that are queued and running. The scheduler's own
--- a/internal/seeder/seeder.go
+++ b/internal/seeder/seeder.go
@@ -10,10 +10,10 @@
 
 const seed = 1
 
-// Fix sets the number of checks of a property, the number of steps in each, and the seed. The flags
-// -rapid.checks, -rapid.steps and -rapid.seed on the command line take precedence, because Fix is called
+// SetFlagDefaults sets the number of checks of a property, the number of steps in each, and the seed. The flags
+// -rapid.checks, -rapid.steps and -rapid.seed on the command line take precedence, because SetFlagDefaults is called
 // from init, before the command line is parsed. It panics if a flag is not defined.
-func Fix(checks, steps int) {
+func SetFlagDefaults(checks, steps int) {
 	values := map[string]int{"rapid.checks": checks, "rapid.seed": seed, "rapid.steps": steps}
 	for name, value := range values {
 		if err := flag.Set(name, fmt.Sprint(value)); err != nil {
@@ -22,13 +22,13 @@
 	}
 }
 
-// withoutDeadline wraps a test in a type without the method Deadline, so that the deadline can't be read.
-type withoutDeadline struct {
+// deadlineHider wraps a test in a type without the method Deadline, so that the deadline can't be read.
+type deadlineHider struct {
 	testing.TB
 }
 
-// InBubble wraps t for a property test in a synctest bubble, which runs on virtual time and does not allow
-// the test's deadline to be read.
-func InBubble(t *testing.T) testing.TB {
-	return withoutDeadline{t}
+// WithoutDeadline wraps t so that its deadline can't be read. A property test in a synctest bubble needs this, because
+// the bubble runs on virtual time and does not allow the test's deadline to be read.
+func WithoutDeadline(t *testing.T) testing.TB {
+	return deadlineHider{t}
 }
