--- a/internal/budgeter/repeats_test.go
+++ b/internal/budgeter/repeats_test.go
@@ -38,9 +38,9 @@
 	return last - first
 }
 
-// TestRepeatLimitHoldsAcrossUpstreams guards against inc1, in which upstreams kept their own limits but together
-// received more repeats in some window than the service allows. Load moves between upstreams, comes in bursts after
-// quiet periods and arrives late, and nodes are restarted.
+// TestRepeatLimitHoldsAcrossUpstreams guards against incident inc1, in which upstreams kept their own limits but
+// together received more repeats in some window than the service allows. Load moves between upstreams, comes in bursts
+// after quiet periods and arrives late, and nodes are restarted.
 func TestRepeatLimitHoldsAcrossUpstreams(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		clock := &manualClock{now: time.Unix(1000, 0)}
--- a/internal/cmd/upstreamcmd.go
+++ b/internal/cmd/upstreamcmd.go
@@ -12,7 +12,7 @@
 	"github.com/marigoldrelay/marigoldrelay/internal/responder"
 )
 
-// crashExitCode is the exit code of a stand-in upstream that is told to crash.
+// crashExitCode is the exit code of a stand-in upstream that crashes on request.
 const crashExitCode = 99
 
 func newUpstreamCommand() *cli.Command {
--- a/internal/dispatcher/attempts.go
+++ b/internal/dispatcher/attempts.go
@@ -35,8 +35,8 @@
 	Runs int
 	// Target is the node of the last attempt.
 	Target string
-	// Tries is the number of attempts without hedges.
-	Tries int
+	// AttemptCount is the number of attempts without hedges.
+	AttemptCount int
 
 	// handedBack are the nodes that have handed the call back.
 	handedBack []string
@@ -55,12 +55,12 @@
 	for {
 		choice, optional, ok := d.pickTarget(call, p)
 		if !ok {
-			if p.Tries == 0 {
+			if p.AttemptCount == 0 {
 				outcome.Refusal = noUpstreamRefusal()
 			}
 			break
 		}
-		p.Tries++
+		p.AttemptCount++
 		p.Target = choice.Name
 		p.Load, p.LoadAge, p.Slow = choice.Load, choice.LoadAge, choice.Slow
 		outcome = d.sendHedged(ctx, call, p, choice.Member, optional, req, resp)
@@ -135,7 +135,7 @@
 func (d *Dispatcher) pickTarget(call *Call, p *CallProgress) (choice router.Choice, optional, ok bool) {
 	if p.HandBacks < maxHandBacks {
 		exclude := append(append([]string(nil), p.excluded...), p.handedBack...)
-		if choice, ok := d.Targets.Pick(d.need(call), exclude); ok && (choice.Responsive || p.Tries == 0) {
+		if choice, ok := d.Targets.Pick(d.need(call), exclude); ok && (choice.Responsive || p.AttemptCount == 0) {
 			return choice, choice.Alternatives > 0 || len(p.handedBack) > 0, true
 		}
 	}
@@ -352,8 +352,8 @@
 	switch {
 	case outcome.RetrySpent:
 		reason = meter.RetryRefusalNested
-	case p.Tries >= maxTries || p.Runs >= call.Attempts:
-		reason = meter.RetryRefusalTries
+	case p.AttemptCount >= maxCallAttempts || p.Runs >= call.Attempts:
+		reason = meter.RetryRefusalAttempts
 	case !d.Clock.Now().Before(call.Deadline):
 		reason = meter.RetryRefusalDeadline
 	case outcome.Reached() && !d.Retries.Spend(call.Neighbour):
--- a/internal/dispatcher/attempts_test.go
+++ b/internal/dispatcher/attempts_test.go
@@ -50,16 +50,16 @@
 	tests := []struct {
 		name     string
 		deadline time.Duration
-		tries    int
+		attempts int
 		served   bool
 	}{
 		{"nested call", 200 * time.Millisecond, 3, true},
 		{"caller can retry", 10 * time.Second, 1, false},
 	}
 	for _, test := range tests {
-		tries := 0
+		attempts := 0
 		d := newChain(t, 1, func() carrier.Outcome {
-			if tries++; tries <= 2 {
+			if attempts++; attempts <= 2 {
 				return carrier.Outcome{Refusal: refuser.NewWithRetryAfter(refuser.ReasonQueueFull, time.Second, "full")}
 			}
 			return carrier.Outcome{}
@@ -68,8 +68,8 @@
 		document.Routes[0].Deadline = validator.Duration(test.deadline)
 		d.Configure(&document)
 		refusal := d.Dispatch(context.Background(), newRequest(), &fasthttp.Response{})
-		if served := refusal == nil; served != test.served || tries != test.tries {
-			t.Errorf("%s: served %t after %d attempts, want %t after %d", test.name, served, tries, test.served, test.tries)
+		if served := refusal == nil; served != test.served || attempts != test.attempts {
+			t.Errorf("%s: served %t after %d attempts, want %t after %d", test.name, served, attempts, test.served, test.attempts)
 		}
 	}
 }
--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -34,8 +34,8 @@
 	// maxQueueFullRefusals is how often a call is retried after a full queue if its caller has no time to retry
 	// itself.
 	maxQueueFullRefusals = 3
-	// maxTries limits the attempts of a call, including those that reach no upstream but not hedges.
-	maxTries = 10
+	// maxCallAttempts limits the attempts of a call, including those that reach no upstream but not hedges.
+	maxCallAttempts = 10
 	// noUpstreamRetry is the time after which a retry can succeed if a service has no ready upstream or no
 	// configuration is in force.
 	noUpstreamRetry = 300 * time.Millisecond
--- a/internal/dispatcher/dispatcher_test.go
+++ b/internal/dispatcher/dispatcher_test.go
@@ -33,7 +33,7 @@
 	mu         sync.Mutex
 	next       *level
 	retrySpent map[string]bool
-	tries      int
+	attempts   int
 	answer     func() carrier.Outcome
 }
 
@@ -60,7 +60,7 @@
 // Send implements Sender. It runs the request at the upstream, which first makes a nested call.
 func (l *level) Send(ctx context.Context, _ gossiper.Member, a carrier.Attempt, _ *fasthttp.Request, resp *fasthttp.Response, deadline time.Time) carrier.Outcome {
 	l.mu.Lock()
-	l.tries++
+	l.attempts++
 	l.mu.Unlock()
 	if l.next == nil {
 		return l.awaitAnswer(ctx)
@@ -158,7 +158,7 @@
 			chain[0].Dispatch(context.Background(), newRequest(), &fasthttp.Response{})
 		}
 		for i, l := range chain {
-			amplification := float64(l.tries) / calls
+			amplification := float64(l.attempts) / calls
 			t.Logf("depth %d, level %d: %.3f attempts per call", depth, i+1, amplification)
 			if amplification > 1.1+1e-9 {
 				t.Errorf("depth %d, level %d: %.3f attempts per call, want at most 1.1", depth, i+1, amplification)
@@ -178,8 +178,8 @@
 				t.Fatalf("got %s, want %s", refusal.Reason, reason)
 			}
 		}
-		if chain[0].tries != 100 {
-			t.Errorf("%s: %d attempts for 100 calls", reason, chain[0].tries)
+		if chain[0].attempts != 100 {
+			t.Errorf("%s: %d attempts for 100 calls", reason, chain[0].attempts)
 		}
 		if got := chain[0].Meter.RefusalCount(reason); got != 100 {
 			t.Errorf("%s: counted %d refusals", reason, got)
@@ -189,10 +189,10 @@
 
 // TestSingleFailureIsRetried checks that the caller does not see a single failed attempt.
 func TestSingleFailureIsRetried(t *testing.T) {
-	tries := 0
+	attempts := 0
 	chain := newChain(t, 1, func() carrier.Outcome {
-		tries++
-		if tries == 40 {
+		attempts++
+		if attempts == 40 {
 			return lostOutcome()
 		}
 		return carrier.Outcome{}
@@ -212,9 +212,9 @@
 func TestHedgeReducesTailLatency(t *testing.T) {
 	for _, hedged := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			var tries atomic.Int64
+			var attempts atomic.Int64
 			chain := newChain(t, 1, func() carrier.Outcome {
-				if tries.Add(1)%200 == 0 {
+				if attempts.Add(1)%200 == 0 {
 					time.Sleep(time.Second)
 				}
 				time.Sleep(10 * time.Millisecond)
@@ -235,12 +235,12 @@
 			time.Sleep(2 * time.Second)
 			slices.Sort(times)
 			p999 := times[len(times)*999/1000]
-			t.Logf("hedged %t: p99.9 %s, %.3f attempts per call", hedged, p999, float64(tries.Load())/2000)
+			t.Logf("hedged %t: p99.9 %s, %.3f attempts per call", hedged, p999, float64(attempts.Load())/2000)
 			if hedged && p999 > 100*time.Millisecond {
 				t.Errorf("p99.9 is %s with hedges", p999)
 			}
-			if tries.Load() > 2200 {
-				t.Errorf("%d attempts for 2000 calls, want at most 1.1 per call", tries.Load())
+			if attempts.Load() > 2200 {
+				t.Errorf("%d attempts for 2000 calls, want at most 1.1 per call", attempts.Load())
 			}
 		})
 	}
--- a/internal/dispatcher/hedge.go
+++ b/internal/dispatcher/hedge.go
@@ -20,7 +20,7 @@
 	hedgeQuantile       = 0.98
 	// hedgeDurationFactor is the time allowed for a hedge to meet the target latency, in median latencies.
 	hedgeDurationFactor = 1.5
-	maxHedgeTries       = 3
+	maxHedgeAttempts    = 3
 	minHedgeDelay       = 5 * time.Millisecond
 	medianQuantile      = 0.5
 )
@@ -217,7 +217,7 @@
 
 // runHedge sends the hedge if the retry budget allows it. The attempt is optional, so that a target takes it only if
 // it can start it at once. If a target hands it back, or refuses it because of its upstream's limit on repeats,
-// runHedge picks another one, up to maxHedgeTries.
+// runHedge picks another one, up to maxHedgeAttempts.
 func (d *Dispatcher) runHedge(h *hedge, reason meter.RetryReason) {
 	if !d.Retries.Spend(h.call.Neighbour) {
 		d.reportRetryRefused(h.call, h.firstTarget, meter.RetryRefusalBudget)
@@ -228,7 +228,7 @@
 		return
 	}
 	var outcome carrier.Outcome
-	for range maxHedgeTries {
+	for range maxHedgeAttempts {
 		target, ok := d.Targets.Pick(d.need(h.call), h.exclude)
 		if !ok {
 			outcome.Refusal = noUpstreamRefusal()
--- a/internal/dispatcher/hedge_test.go
+++ b/internal/dispatcher/hedge_test.go
@@ -24,9 +24,9 @@
 // target reports that its upstream has become slow.
 func TestSlowdownReportStartsHedge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var tries atomic.Int64
+		var attempts atomic.Int64
 		chain := newChain(t, 1, func() carrier.Outcome {
-			if tries.Add(1) == 101 {
+			if attempts.Add(1) == 101 {
 				time.Sleep(time.Second)
 			}
 			time.Sleep(10 * time.Millisecond)
--- a/internal/executor/run.go
+++ b/internal/executor/run.go
@@ -146,7 +146,7 @@
 	e.notifyPeers()
 }
 
-// classifyResult tells the limiter's answered and failed results apart. Answers with the status 429,
+// classifyResult distinguishes the limiter's answered and failed results. Answers with the status 429,
 // 502, 503 or 504 and most errors count as failed; a cancelled or shed request counts as answered.
 func (e *Executor) classifyResult(resp *fasthttp.Response, err error) limiter.Result {
 	if err != nil {
@@ -259,7 +259,7 @@
 }
 
 // RecordNestedFailure records that a call nested in the given one has finally failed. The outcome of the given call
-// says so, so that no caller above retries it again.
+// reports this in RetrySpent, so that no caller further up retries it again.
 func (e *Executor) RecordNestedFailure(call string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/executor/wait.go
+++ b/internal/executor/wait.go
@@ -168,7 +168,7 @@
 	Grant uint64 `json:"grant"`
 }
 
-// PullReply says whether a request was bound to the offered slot, and if so, gives its class.
+// PullReply reports whether a request was bound to the offered slot, and if so, gives its class.
 type PullReply struct {
 	Bound     bool   `json:"bound"`
 	Neighbour string `json:"neighbour,omitempty"`
--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -234,7 +234,7 @@
 }
 
 // readResponse reads one whole response: header, body and trailer. Without AcceptNoLength, a body that ends with the
-// stream is an error, because it cannot be told whether the body is complete.
+// stream is an error, because a truncated body could not be detected.
 func (p *Pool) readResponse(c *conn, x *Exchange) error {
 	header := &x.Response.Header
 	if err := readFinalHeader(c, header); err != nil {
--- a/internal/gossiper/member.go
+++ b/internal/gossiper/member.go
@@ -66,10 +66,11 @@
 	// Incarnation identifies a start of the node's process and increases with each one.
 	Incarnation uint64 `cbor:"6,keyasint" json:"incarnation"`
 	// Sequence increases with each change that the node makes to its own record.
-	Sequence uint64          `cbor:"7,keyasint" json:"sequence"`
-	Status   Status          `cbor:"8,keyasint" json:"status"`
-	Service  string          `cbor:"9,keyasint,omitempty" json:"service,omitempty"`
-	Slots    int             `cbor:"10,keyasint,omitempty" json:"slots,omitempty"`
+	Sequence uint64 `cbor:"7,keyasint" json:"sequence"`
+	Status   Status `cbor:"8,keyasint" json:"status"`
+	Service  string `cbor:"9,keyasint,omitempty" json:"service,omitempty"`
+	Slots    int    `cbor:"10,keyasint,omitempty" json:"slots,omitempty"`
+	// Upstream is the state of the node's upstream.
 	Upstream announcer.State `cbor:"11,keyasint,omitempty" json:"upstream,omitempty"`
 	// DiskID identifies the disk of a node that is able to be a control replica.
 	DiskID string `cbor:"12,keyasint,omitempty" json:"disk-id,omitempty"`
--- a/internal/gossiper/probe.go
+++ b/internal/gossiper/probe.go
@@ -164,7 +164,7 @@
 func (g *Gossiper) pickPeers(n int, exclude string) []*entry {
 	names := g.sortedNames()
 	var picked []*entry
-	for tries := 0; len(picked) < n && tries < 10*n; tries++ {
+	for draws := 0; len(picked) < n && draws < 10*n; draws++ {
 		m := g.members[names[g.random.IntN(len(names))]]
 		if m.Name == exclude || !g.isActivePeer(m) || slices.Contains(picked, m) {
 			continue
--- a/internal/limiter/limiter.go
+++ b/internal/limiter/limiter.go
@@ -29,7 +29,7 @@
 	windowSamples = 20
 )
 
-// Result says how a request ended at the upstream.
+// Result is how a request ended at the upstream.
 type Result int
 
 // The values of Result.
@@ -90,7 +90,7 @@
 }
 
 // SetReportsLoad records that the upstream reports its load. From then on slow answers and failures do not lower
-// the limit: such an upstream says when it is full, and fewer concurrent requests do not help against another
+// the limit: such an upstream reports when it is full, and fewer concurrent requests do not help against another
 // fault. The limit is lowered only where the upstream has a higher throughput with fewer concurrent requests.
 func (l *Limiter) SetReportsLoad() {
 	if l.reportsLoad {
--- a/internal/listener/listener.go
+++ b/internal/listener/listener.go
@@ -57,7 +57,8 @@
 // acceptRetryDelay is the pause after a failed accept.
 const acceptRetryDelay = 10 * time.Millisecond
 
-// Serve accepts and serves connections until Close, StartShutdown or Abort is called. It does not wait for open connections.
+// Serve accepts and serves connections until Close, StartShutdown or Abort is called. It does not wait for open
+// connections.
 func (l *Listener) Serve(listener net.Listener) {
 	l.mu.Lock()
 	l.listener = listener
--- a/internal/messenger/messenger.go
+++ b/internal/messenger/messenger.go
@@ -24,8 +24,11 @@
 
 // The purposes, as handshakes encode them.
 const (
+	// PurposeBinding is for late binding and for claims of idempotency keys.
 	PurposeBinding Purpose = iota + 1
+	// PurposeConfiguration is for the register and its documents.
 	PurposeConfiguration
+	// PurposeMembership is for member lists and crash reports.
 	PurposeMembership
 )
 
@@ -93,7 +96,8 @@
 	ready chan struct{}
 }
 
-// New returns a messenger that signs with key and counts the sent bytes with counter. Handle must be called before Serve.
+// New returns a messenger that signs with key and counts the sent bytes with counter. Handle must be called before
+// Serve.
 func New(key *signer.Signer, counter ByteCounter) *Messenger {
 	return &Messenger{
 		accepted: make(map[*jsonrpc2.Conn]struct{}),
--- a/internal/meter/meter.go
+++ b/internal/meter/meter.go
@@ -42,8 +42,8 @@
 	RetryRefusalDeadline RetryRefusal = "deadline"
 	// RetryRefusalNested is the reason if a nested call failed, which must not be retried again by its parent.
 	RetryRefusalNested RetryRefusal = "spent-below"
-	// RetryRefusalTries is the reason if the call has used all its attempts.
-	RetryRefusalTries RetryRefusal = "tries"
+	// RetryRefusalAttempts is the reason if the call has used all its attempts.
+	RetryRefusalAttempts RetryRefusal = "tries"
 	// RetryRefusalUpstreamBudget is the reason if none of the nodes that were asked could accept the attempt within its
 	// upstream's limit of retries.
 	RetryRefusalUpstreamBudget RetryRefusal = "upstream-budget"
@@ -67,7 +67,7 @@
 	for _, reason := range []RetryReason{RetryOverUpstreamBudget, RetryFailed, RetryHandedBack, RetryHedge, RetryNotRun, RetrySlow} {
 		m.retryCounter(reason)
 	}
-	for _, reason := range []RetryRefusal{RetryRefusalBudget, RetryRefusalDeadline, RetryRefusalNested, RetryRefusalTries, RetryRefusalUpstreamBudget} {
+	for _, reason := range []RetryRefusal{RetryRefusalBudget, RetryRefusalDeadline, RetryRefusalNested, RetryRefusalAttempts, RetryRefusalUpstreamBudget} {
 		m.retryRefusalCounter(reason)
 	}
 	return m
--- a/internal/refuser/refuser.go
+++ b/internal/refuser/refuser.go
@@ -16,26 +16,26 @@
 // The reasons for which a request is refused.
 const (
 	ReasonBodyTooLarge   Reason = "body-too-large"
-	ReasonBusy           Reason = "busy"
-	ReasonCancelled      Reason = "cancelled"
-	ReasonDeadline       Reason = "deadline"
-	ReasonDraining       Reason = "draining"
+	ReasonBusy           Reason = "busy"      // The attempt is optional and can't start at once.
+	ReasonCancelled      Reason = "cancelled" // The caller has disconnected, or the attempt was cancelled.
+	ReasonDeadline       Reason = "deadline"  // The deadline has passed or can't be met.
+	ReasonDraining       Reason = "draining"  // The upstream or its node is draining.
 	ReasonHeaderTooLarge Reason = "header-too-large"
-	ReasonKeyReused      Reason = "key-reused"
-	ReasonNoDocument     Reason = "no-document"
-	ReasonNoRoute        Reason = "no-route"
-	ReasonNoUpstream     Reason = "no-upstream"
-	ReasonOutcomeUnknown Reason = "outcome-unknown"
-	ReasonPoison         Reason = "poison"
-	ReasonQuarantined    Reason = "quarantined"
-	ReasonQueueFull      Reason = "queue-full"
+	ReasonKeyReused      Reason = "key-reused"      // The idempotency key was used for another request.
+	ReasonNoDocument     Reason = "no-document"     // No configuration is in force yet.
+	ReasonNoRoute        Reason = "no-route"        // No route matches the request.
+	ReasonNoUpstream     Reason = "no-upstream"     // No ready upstream could be used.
+	ReasonOutcomeUnknown Reason = "outcome-unknown" // The request may have run, and its outcome is not known.
+	ReasonPoison         Reason = "poison"          // Equal requests have crashed upstreams.
+	ReasonQuarantined    Reason = "quarantined"     // The request may have caused a crash, and so may another one that is running.
+	ReasonQueueFull      Reason = "queue-full"      // The queue is full or the expected wait is too long.
 	ReasonBadRequest     Reason = "bad-request"
-	ReasonRequestTimeout Reason = "request-timeout"
-	ReasonRetryBudget    Reason = "retry-budget"
-	ReasonShed           Reason = "shed"
-	ReasonUnauthorized   Reason = "unauthorized"
-	ReasonUpstreamFailed Reason = "upstream-failed"
-	ReasonUpstreamLost   Reason = "upstream-lost"
+	ReasonRequestTimeout Reason = "request-timeout" // The request was not received in time.
+	ReasonRetryBudget    Reason = "retry-budget"    // The upstream has reached its limit on repeats.
+	ReasonShed           Reason = "shed"            // The upstream itself reported that it has no capacity.
+	ReasonUnauthorized   Reason = "unauthorized"    // The request is not signed by a node.
+	ReasonUpstreamFailed Reason = "upstream-failed" // The upstream's answer can't be used.
+	ReasonUpstreamLost   Reason = "upstream-lost"   // The connection was lost before the whole answer.
 )
 
 // Reasons returns all reasons in alphabetical order.
@@ -48,13 +48,13 @@
 	}
 }
 
-// NotRun tells whether a refused request is known not to have run.
+// NotRun states whether a refused request is known not to have run.
 type NotRun string
 
 // The values of NotRun.
 const (
-	NotRunFalse   NotRun = "false"
-	NotRunTrue    NotRun = "true"
+	NotRunFalse   NotRun = "false"   // The request has run.
+	NotRunTrue    NotRun = "true"    // The request has certainly not run.
 	NotRunUnknown NotRun = "unknown" // The request may have run.
 )
 
--- a/internal/relayer/atmostonce_test.go
+++ b/internal/relayer/atmostonce_test.go
@@ -116,7 +116,7 @@
 	return sendCall(c.t, c.entry.Settings.CallerAddress, fasthttp.MethodPost, id, "", timeout)
 }
 
-// checkAtMostOnce compares what the caller was told with how often the request ran.
+// checkAtMostOnce compares the result that the caller got with how often the request ran.
 func (c *testCluster) checkAtMostOnce(id string, got callResult) {
 	c.t.Helper()
 	ran := c.Journal.Count(id)
--- a/internal/relayer/control.go
+++ b/internal/relayer/control.go
@@ -33,8 +33,8 @@
 	return err
 }
 
-// Withdraw records that the upstream's process is about to exit, as it has said itself. A zero born stands for any
-// start of the instance.
+// Withdraw records that the upstream's process is about to exit, as reported by the process itself. A zero born
+// stands for any start of the instance.
 func (n *Node) Withdraw(instance string, born int64) {
 	n.log.Info("The upstream says that it goes.", "instance", instance, "born", born)
 	n.registrar.Withdraw(instance, born)
@@ -76,10 +76,10 @@
 	n.log.Error("The settings can't be read again.", "error", err)
 }
 
-// DrainFor hands new work to other nodes and finishes what is in flight. For the time notice everything goes on,
-// since callers need it to notice that the node is not ready. Then the upstream is left to the node's next start and
-// no more requests are accepted. DrainFor returns when nothing is in flight, or when the time limit has passed since
-// the call.
+// DrainFor hands new work to other nodes and finishes what is in flight. For the time notice the node serves as
+// before, because callers need it to notice that the node is not ready. Then no more requests are accepted. The
+// upstream keeps running for the node's next start. DrainFor returns when nothing is in flight, or when the time limit
+// has passed since the call.
 func (n *Node) DrainFor(notice, limit time.Duration) {
 	n.log.Info("Draining.", "away", notice, "most", limit)
 	started := n.clock.Now()
--- a/internal/relayer/eventlog.go
+++ b/internal/relayer/eventlog.go
@@ -86,7 +86,7 @@
 	}
 	fields := []any{
 		"request", call.RequestID, "call", call.ID, "route", call.Route, "service", call.Service, "rank", call.Rank,
-		"target", progress.Target, "tries", progress.Tries, "arrivals", progress.Arrivals, "hand-backs", progress.HandBacks,
+		"target", progress.Target, "tries", progress.AttemptCount, "arrivals", progress.Arrivals, "hand-backs", progress.HandBacks,
 		"over-budget", progress.OverBudget, "hedged", progress.Hedged,
 		"believed-load", progress.Load, "believed-slow", progress.Slow, "load-age", progress.LoadAge,
 		"took", took, "left", call.Deadline.Sub(n.clock.Now()), "version", n.documentVersion(),
@@ -111,13 +111,13 @@
 	}
 }
 
-// callHedged logs that a second try of a call begins beside the first.
+// callHedged logs that a hedge begins: a second attempt of a call, concurrent with the first.
 func (n *Node) callHedged(call *dispatcher.Call, first, second string, reason meter.RetryReason) {
 	n.events.write(!isTraced(call.RequestID), "A second try begins.", "request", call.RequestID, "call", call.ID,
 		"first", first, "second", second, "reason", reason, "took", n.clock.Now().Sub(call.Started))
 }
 
-// retryRefused logs that a call was refused a further try.
+// retryRefused logs that a retry or a hedge of a call was refused.
 func (n *Node) retryRefused(call *dispatcher.Call, target string, reason meter.RetryRefusal) {
 	n.events.write(!isTraced(call.RequestID), "A further try is refused.", "request", call.RequestID, "call", call.ID,
 		"target", target, "neighbour", call.Neighbour, "reason", reason, "took", n.clock.Now().Sub(call.Started))
@@ -138,7 +138,7 @@
 const arrivalLogInterval = 2 * time.Second
 
 // newArrivalLogger returns a function that logs how many requests have arrived at the upstream since its last call,
-// by whether they were the first try of their request.
+// by the kind of their attempts.
 func (n *Node) newArrivalLogger() func() {
 	type kind struct {
 		service string
@@ -164,8 +164,8 @@
 	}
 }
 
-// isRoutine reports whether the outcome is normal in operation: an answer, a request that was handed back, or the
-// loser of two tries.
+// isRoutine reports whether the outcome is normal in operation: an answer, a request that was handed back, or an
+// attempt that was cancelled, such as the slower one of a hedged call.
 func isRoutine(outcome *carrier.Outcome) bool {
 	if outcome.Refusal == nil {
 		return true
--- a/internal/relayer/leader.go
+++ b/internal/relayer/leader.go
@@ -54,14 +54,15 @@
 	r.skippedUntil[name] = r.node.clock.Now().Add(leaderSkipTime)
 }
 
-// changeReply is the leader's answer to a change. If the change was refused, Conflict or IsBelow tells why.
+// changeReply is the leader's answer to a change. If the change was refused, Conflict or VersionTooLow is set.
 type changeReply struct {
 	Conflict *replicator.ConflictError `json:"conflict,omitempty"`
 	// Document is the one in force after the change. The reply contains it because the leader may die before it has
 	// pushed it.
 	Document *packedDocument `json:"document,omitempty"`
-	IsBelow  bool            `json:"is-below,omitempty"`
-	Version  uint64          `json:"version,omitempty"`
+	// VersionTooLow is true if the requested version is not above the current one.
+	VersionTooLow bool   `json:"is-below,omitempty"`
+	Version       uint64 `json:"version,omitempty"`
 }
 
 // newChangeReply returns the reply for the outcome of a change. An unknown outcome stays an error.
@@ -73,7 +74,7 @@
 	case errors.As(err, &conflict):
 		return changeReply{Conflict: conflict}, nil
 	case errors.Is(err, replicator.ErrVersion):
-		return changeReply{IsBelow: true}, nil
+		return changeReply{VersionTooLow: true}, nil
 	default:
 		return changeReply{}, rpcError(err)
 	}
@@ -107,7 +108,7 @@
 	switch {
 	case c.Conflict != nil:
 		return 0, c.Conflict
-	case c.IsBelow:
+	case c.VersionTooLow:
 		return 0, replicator.ErrVersion
 	default:
 		return c.Version, nil
--- a/internal/relayer/node.go
+++ b/internal/relayer/node.go
@@ -271,8 +271,8 @@
 	t.node.reportSiblingLoad(name, load)
 }
 
-// reportSiblingLoad passes the load that another node reports to the executor, if that node has learned with which
-// part of its slots the upstream gets most done.
+// reportSiblingLoad passes the load that another node reports to the executor, if that node has learned at which
+// fraction of its slots the upstream has the highest throughput.
 func (n *Node) reportSiblingLoad(name string, load carrier.Load) {
 	if load.BestSlotFraction == 0 || name == n.settings.Name {
 		return
--- a/internal/relayer/peerclient.go
+++ b/internal/relayer/peerclient.go
@@ -17,14 +17,14 @@
 
 // RPC methods between nodes.
 const (
-	methodClaim    = "claim"
-	methodCrash    = "crash"
-	methodInnocent = "innocent"
-	methodPull     = "pull"
-	methodRelease  = "release"
-	methodReserve  = "reserve"
-	methodSettle   = "settle"
-	methodSync     = "sync"
+	methodClaim   = "claim"
+	methodCrash   = "crash"
+	methodCleared = "innocent"
+	methodPull    = "pull"
+	methodRelease = "release"
+	methodReserve = "reserve"
+	methodSettle  = "settle"
+	methodSync    = "sync"
 )
 
 const crashReportTimeout = 200 * time.Millisecond
@@ -57,7 +57,7 @@
 
 // ReportCleared implements executor.Links.
 func (c *peerClient) ReportCleared(_ context.Context, cleared quarantiner.ClearedSuspect) {
-	c.callSiblings(cleared.Service, methodInnocent, cleared)
+	c.callSiblings(cleared.Service, methodCleared, cleared)
 }
 
 // SendLoad implements executor.Links.
@@ -159,7 +159,7 @@
 		n.quarantiner.Report(p)
 		return emptyMessage{}, nil
 	})
-	addHandler(m, methodInnocent, func(_ context.Context, p quarantiner.ClearedSuspect) (emptyMessage, error) {
+	addHandler(m, methodCleared, func(_ context.Context, p quarantiner.ClearedSuspect) (emptyMessage, error) {
 		n.log.Info("A suspect request ran without a crash.", "fingerprint", p.Fingerprint, "service", p.Service)
 		n.quarantiner.Clear(p.Fingerprint)
 		return emptyMessage{}, nil
--- a/internal/relayer/poison_test.go
+++ b/internal/relayer/poison_test.go
@@ -32,7 +32,7 @@
 }
 
 // TestLateNodeBarsKnownPoison guards against a request that crashes one more upstream with each node that is
-// started, because bars were sent only to the nodes that were running at the time.
+// started, because crashes were reported only to the nodes that were running at the time.
 func TestLateNodeBarsKnownPoison(t *testing.T) {
 	behaviour := responder.Behaviour{ServiceTime: 5 * time.Millisecond, Slots: 12, Steady: true}
 	c := newTestCluster(t, 3, behaviour)
@@ -60,9 +60,9 @@
 	}
 }
 
-// TestPoisonRequest repeats a request that crashes each upstream that runs it, among innocent requests that are in
+// TestPoisonRequest repeats a request that crashes each upstream that runs it, among harmless requests that are in
 // flight during the crashes and are repeated as well. It guards against losing more than 2 upstreams to the
-// request, and against innocent requests that stay refused.
+// request, and against harmless requests that stay refused.
 func TestPoisonRequest(t *testing.T) {
 	const targets = 6
 	c := newTestCluster(t, targets, responder.Behaviour{ServiceTime: 100 * time.Millisecond, Slots: 12, Steady: true})
@@ -77,11 +77,11 @@
 		}
 		return count
 	}
-	innocent := make(chan int, 400)
+	harmless := make(chan int, 400)
 	for i := range 20 {
 		go func() {
 			for range 20 {
-				innocent <- send(fmt.Sprintf("/entries/%d", i), false)
+				harmless <- send(fmt.Sprintf("/entries/%d", i), false)
 			}
 		}()
 	}
@@ -93,13 +93,13 @@
 		t.Errorf("%d upstreams were lost to one request, want at most 2", n)
 	}
 	statuses := make(map[int]int)
-	for range cap(innocent) {
-		statuses[<-innocent]++
+	for range cap(harmless) {
+		statuses[<-harmless]++
 	}
-	t.Logf("%d upstreams crashed; innocent requests: %v", crashed(), statuses)
+	t.Logf("%d upstreams crashed; harmless requests: %v", crashed(), statuses)
 	for i := range 20 {
 		if status := send(fmt.Sprintf("/entries/%d", i), false); status != fasthttp.StatusOK {
-			t.Errorf("innocent request %d is still refused: status %d", i, status)
+			t.Errorf("harmless request %d is still refused: status %d", i, status)
 		}
 	}
 	if status := send("/entries/poison", true); status != fasthttp.StatusServiceUnavailable {
--- a/internal/relayer/repeatbudget_test.go
+++ b/internal/relayer/repeatbudget_test.go
@@ -80,7 +80,7 @@
 	started  time.Time
 
 	mu sync.Mutex
-	// nestedOfRepeats tells which nested calls were made by runs that were repeats themselves.
+	// nestedOfRepeats records for each nested call whether the run that made it was a repeat itself.
 	nestedOfRepeats map[string]bool
 	nestedCalls     int
 	// requests and repeats are the times of requests and of arrivals that were repeats, by service.
@@ -322,8 +322,8 @@
 	}
 }
 
-// TestRepeatBudgetCountsNestedCalls guards against inc1: a service got more repeats than all nodes together are
-// allowed to send it, because the nested calls of runs that were repeats were not counted.
+// TestRepeatBudgetCountsNestedCalls guards against incident inc1: a service got more repeats than all nodes together
+// are allowed to send it, because the nested calls of runs that were repeats were not counted.
 func TestRepeatBudgetCountsNestedCalls(t *testing.T) {
 	runScenario(t, "nested-calls").checkBudget(t)
 }
@@ -345,8 +345,8 @@
 	runScenario(t, "shifting-load").checkBudget(t)
 }
 
-// TestFailedNestedCallIsNotRetriedByParent guards against the amplification of inc1: a request whose nested call had
-// finally failed was run again, although its upstream passes no context on to its nested calls.
+// TestFailedNestedCallIsNotRetriedByParent guards against the amplification of incident inc1: a request whose nested
+// call had finally failed was run again, although its upstream passes no context on to its nested calls.
 func TestFailedNestedCallIsNotRetriedByParent(t *testing.T) {
 	r := runScenario(t, "failing-nested-calls")
 	r.checkBudget(t)
--- a/internal/relayer/repeatlimits.go
+++ b/internal/relayer/repeatlimits.go
@@ -40,7 +40,7 @@
 	return limits
 }
 
-// retryRatio returns how many retries a neighbour allows for each first try, or zero without a document.
+// retryRatio returns how many retries a neighbour allows for each first attempt, or zero without a document.
 func (n *Node) retryRatio(neighbour string) float64 {
 	current := n.currentDocument()
 	if current == nil {
--- a/internal/relayer/silent_test.go
+++ b/internal/relayer/silent_test.go
@@ -19,8 +19,8 @@
 		callers        = 8
 		callsPerCaller = 40
 		service        = 20 * time.Millisecond
-		// harmThreshold is the time beyond the service time after which a call counts as harmed.
-		harmThreshold = 60 * time.Millisecond
+		// delayThreshold is the time beyond the service time after which a call counts as delayed.
+		delayThreshold = 60 * time.Millisecond
 	)
 	for _, count := range []int{1, callers} {
 		t.Run(fmt.Sprintf("%d of %d", count, callers), func(t *testing.T) {
@@ -49,19 +49,19 @@
 			if got := c.network.silence(c.Node(1).Settings.PeerAddress, count); got != count {
 				t.Fatalf("%d connections were open, want at least %d", got, count)
 			}
-			harmed, worst := 0, time.Duration(0)
+			delayed, worst := 0, time.Duration(0)
 			for _, result := range run("silent") {
 				if !result.answered {
 					t.Errorf("a call was not answered: %s", result)
 				}
-				if result.elapsed > service+harmThreshold {
-					harmed++
+				if result.elapsed > service+delayThreshold {
+					delayed++
 				}
 				worst = max(worst, result.elapsed)
 			}
-			t.Logf("%d of %d calls harmed, the worst took %s", harmed, callers*callsPerCaller, worst)
-			if harmed > 2*count {
-				t.Errorf("%d calls were harmed by %d silent connections", harmed, count)
+			t.Logf("%d of %d calls delayed, the worst took %s", delayed, callers*callsPerCaller, worst)
+			if delayed > 2*count {
+				t.Errorf("%d calls were delayed by %d silent connections", delayed, count)
 			}
 			if m, _ := c.entry.Node.Member(c.Node(1).Spec.Name); !m.IsServing() {
 				t.Error("the server was marked down")
--- a/internal/relayer/soak_test.go
+++ b/internal/relayer/soak_test.go
@@ -27,7 +27,7 @@
 	soakTargets = 5
 )
 
-// soak draws faults and calls from a seed and checks what every caller was told.
+// soak draws faults and calls from a seed and checks the result that every caller got.
 type soak struct {
 	*testCluster
 	faults   map[string]int
--- a/internal/relayer/upstream.go
+++ b/internal/relayer/upstream.go
@@ -97,7 +97,7 @@
 }
 
 // checkAnswer reads what the upstream reports in the headers of its answer and removes the headers that concern only
-// its connection. The error tells that the request was not run (executor.ErrMisdirected, executor.ErrShed) or that
+// its connection. The error means that the request was not run (executor.ErrMisdirected, executor.ErrShed) or that
 // the answer lacks the upstream's proof of origin (forwarder.ErrForeign).
 func (u *localUpstream) checkAnswer(resp *fasthttp.Response) error {
 	answer := u.interpreter.ReadAnswer(&resp.Header)
--- a/internal/relayer/virtual_test.go
+++ b/internal/relayer/virtual_test.go
@@ -123,7 +123,7 @@
 	return v
 }
 
-// makeKnown tells the nodes in to about the nodes in known.
+// makeKnown adds the nodes in known to the routers of the nodes in to.
 func (d *virtualDeployment) makeKnown(to, known []string) {
 	for _, name := range to {
 		for _, other := range known {
--- a/internal/replicator/value.go
+++ b/internal/replicator/value.go
@@ -100,7 +100,7 @@
 	Author string
 	// Base is the version that the change was made from.
 	Base uint64
-	// ID identifies the change, so that a repeated request is told apart from a new change.
+	// ID identifies the change, so that a repeated request is distinguished from a new change.
 	ID string
 	// Replicas is the new set of replicas; nil keeps the current one.
 	Replicas []Replica
--- a/internal/responder/responder.go
+++ b/internal/responder/responder.go
@@ -180,8 +180,8 @@
 	r.goroutines.Wait()
 }
 
-// Crash simulates a killed process: it closes the listener and every connection, and stops announcing. Further calls have no
-// effect.
+// Crash simulates a killed process: it closes the listener and every connection, and stops announcing. Further calls
+// have no effect.
 func (r *Responder) Crash() {
 	if r.crashed.Swap(true) {
 		return
--- a/internal/settingsreader/settings.go
+++ b/internal/settingsreader/settings.go
@@ -236,8 +236,8 @@
 const defaultPeerKey = "marigoldrelay without a shared key"
 
 // LoadSecrets reads the shared key and the administration token and removes the white space around them.
-// Without a token file the token is random, so nobody can sign in to the administration API; without a key file
-// the nodes trust their network. The error wraps ErrInvalid.
+// Without a token file the token is random, so that no operator can sign in to the administration API;
+// without a key file the nodes trust their network. The error wraps ErrInvalid.
 func (s *Settings) LoadSecrets() (*Secrets, error) {
 	key, token := []byte(defaultPeerKey), []byte(NewSecret())
 	var err error
--- a/internal/validator/document.go
+++ b/internal/validator/document.go
@@ -44,7 +44,7 @@
 // Neighbour is a customer that shares the pool and whose use of it is accounted separately.
 type Neighbour struct {
 	Name string `json:"name"`
-	// RetryRatio is the number of retries allowed per first try, from 0 to 1.
+	// RetryRatio is the number of retries allowed per first attempt, from 0 to 1.
 	RetryRatio float64 `json:"retry-ratio"`
 	// Weight is the neighbour's relative share within a rank, from 1e-6 to 1e6.
 	Weight float64 `json:"weight"`
@@ -62,14 +62,17 @@
 // Route maps requests to a service, or to several by weight.
 type Route struct {
 	// Attempts is the maximum number of upstreams that one request is sent to, up to 100; zero selects the default.
-	Attempts   int      `json:"attempts,omitempty"`
-	Deadline   Duration `json:"deadline"`
-	Host       string   `json:"host,omitempty"`
-	Idempotent bool     `json:"idempotent"`
+	Attempts int      `json:"attempts,omitempty"`
+	Deadline Duration `json:"deadline"`
+	// Host is the host name that the route matches; empty matches all.
+	Host string `json:"host,omitempty"`
+	// Idempotent is true if a request can run more than once without harm.
+	Idempotent bool `json:"idempotent"`
 	// Methods lists the HTTP methods that the route matches; empty matches all.
 	Methods []string `json:"methods,omitempty"`
 	// Name identifies the route in logs and metrics.
-	Name       string `json:"name,omitempty"`
+	Name string `json:"name,omitempty"`
+	// Neighbour is charged for the requests; empty for the service's neighbour.
 	Neighbour  string `json:"neighbour,omitempty"`
 	PathPrefix string `json:"path-prefix"`
 	Rank       string `json:"rank"`
@@ -138,7 +141,8 @@
 	return found.Neighbour
 }
 
-// ServiceRetryRatio returns the retry ratio of the neighbour that the service belongs to, in retries per first try.
+// ServiceRetryRatio returns the retry ratio of the neighbour that the service belongs to, in retries per first
+// attempt.
 func (d *Document) ServiceRetryRatio(service string) float64 {
 	found, _ := d.ServiceNamed(service)
 	return d.NeighbourRetryRatio(found.Neighbour)
--- a/pkg/announcer/announcement.go
+++ b/pkg/announcer/announcement.go
@@ -8,10 +8,10 @@
 
 // The states of an upstream, which are the values of the field "state" of an Announcement.
 const (
-	StateDraining State = "draining"
-	StateGone     State = "gone"
-	StateReady    State = "ready"
-	StateStarting State = "starting"
+	StateDraining State = "draining" // It finishes its requests and must not get new ones.
+	StateGone     State = "gone"     // It has stopped serving.
+	StateReady    State = "ready"    // It can be sent requests.
+	StateStarting State = "starting" // It can't be sent requests yet.
 )
 
 // IsKnown reports whether s is one of the defined states.
