--- a/internal/carrier/carrier.go
+++ b/internal/carrier/carrier.go
@@ -114,11 +114,11 @@
 	}
 	p := c.peer(to.Peer)
 	err := p.pool.Do(ctx, &forwarder.Exchange{
-		Deadline: deadline.Add(responseGrace),
-		Overdue:  c.overdueCheck(ctx, to, &a, p),
-		Patience: p.responseTime.timeout(),
-		Request:  out,
-		Response: resp,
+		Deadline:          deadline.Add(responseGrace),
+		OnOverdue:         c.overdueCheck(ctx, to, &a, p),
+		ExpectedFirstByte: p.responseTime.timeout(),
+		Request:           out,
+		Response:          resp,
 	})
 	if err == nil {
 		outcome, ok := readOutcome(&a, resp)
@@ -186,7 +186,7 @@
 	if errors.Is(err, forwarder.ErrCancelled) {
 		reason = refuser.ReasonCancelled
 	}
-	return Outcome{Arrived: true, Lost: a.Idempotent, Refusal: refuser.Unknown(reason, err.Error())}
+	return Outcome{Arrived: true, Lost: a.Idempotent, Refusal: refuser.NewPossiblyRun(reason, err.Error())}
 }
 
 // resolveRequest is a query to a node about the state of an attempt.
@@ -232,7 +232,7 @@
 }
 
 func unknownOutcome(a *Attempt, detail string) Outcome {
-	return Outcome{Arrived: true, Lost: a.Idempotent, Refusal: refuser.Unknown(refuser.ReasonOutcomeUnknown, detail)}
+	return Outcome{Arrived: true, Lost: a.Idempotent, Refusal: refuser.NewPossiblyRun(refuser.ReasonOutcomeUnknown, detail)}
 }
 
 func (c *Carrier) isReplaced(to gossiper.Member) bool {
@@ -261,10 +261,10 @@
 	req.SetBody(body)
 	resp.Reset()
 	err = c.peer(to.Peer).pool.Do(ctx, &forwarder.Exchange{
-		Deadline: earlier(deadline, now.Add(resolveTimeout)),
-		Fresh:    true,
-		Request:  req,
-		Response: resp,
+		Deadline:      earlier(deadline, now.Add(resolveTimeout)),
+		NewConnection: true,
+		Request:       req,
+		Response:      resp,
 	})
 	if err != nil {
 		return "", Outcome{}, err
--- a/internal/cmd/upstreamcmd.go
+++ b/internal/cmd/upstreamcmd.go
@@ -12,7 +12,7 @@
 	"github.com/marigoldrelay/marigoldrelay/internal/responder"
 )
 
-// crashExitCode is the exit code of a stand-in upstream that is told to crash.
+// crashExitCode is the exit code of a stand-in upstream that crashes on request.
 const crashExitCode = 99
 
 func newUpstreamCommand() *cli.Command {
@@ -81,7 +81,7 @@
 func behaviourFromFlags(command *cli.Command) responder.Behaviour {
 	return responder.Behaviour{
 		FailFast:       command.Bool("fail-fast"),
-		Service:        command.Duration("service-time"),
+		ServiceTime:    command.Duration("service-time"),
 		Slots:          command.Int("slots"),
 		Steady:         command.Bool("steady"),
 		StraggleFactor: command.Float("straggle"),
--- a/internal/dispatcher/attempts.go
+++ b/internal/dispatcher/attempts.go
@@ -35,8 +35,8 @@
 	Runs int
 	// Target is the node of the last attempt.
 	Target string
-	// Tries is the number of attempts without hedges.
-	Tries int
+	// AttemptCount is the number of attempts without hedges.
+	AttemptCount int
 
 	// handedBack are the nodes that have handed the call back.
 	handedBack []string
@@ -55,19 +55,19 @@
 	for {
 		choice, optional, ok := d.pickTarget(call, p)
 		if !ok {
-			if p.Tries == 0 {
+			if p.AttemptCount == 0 {
 				outcome.Refusal = noUpstreamRefusal()
 			}
 			break
 		}
-		p.Tries++
+		p.AttemptCount++
 		p.Target = choice.Name
 		p.Load, p.LoadAge, p.Slow = choice.Load, choice.LoadAge, choice.Slow
 		outcome = d.sendHedged(ctx, call, p, choice.Member, optional, req, resp)
 		p.countArrival(&outcome)
 		reason, retryable := d.retryReason(call, p, &outcome, resp)
 		if !retryable && isOverBudget(&outcome) {
-			d.reportRetryRefused(call, p.Target, meter.RetryRefusalUpstream)
+			d.reportRetryRefused(call, p.Target, meter.RetryRefusalUpstreamBudget)
 		}
 		if !retryable || !d.admitRetry(call, p, &outcome) {
 			break
@@ -135,7 +135,7 @@
 func (d *Dispatcher) pickTarget(call *Call, p *CallProgress) (choice router.Choice, optional, ok bool) {
 	if p.HandBacks < maxHandBacks {
 		exclude := append(append([]string(nil), p.excluded...), p.handedBack...)
-		if choice, ok := d.Targets.Pick(d.need(call), exclude); ok && (choice.Responsive || p.Tries == 0) {
+		if choice, ok := d.Targets.Pick(d.need(call), exclude); ok && (choice.Responsive || p.AttemptCount == 0) {
 			return choice, choice.Alternatives > 0 || len(p.handedBack) > 0, true
 		}
 	}
@@ -230,7 +230,7 @@
 }
 
 func noUpstreamRefusal() *refuser.Refusal {
-	return refuser.Later(refuser.ReasonNoUpstream, noUpstreamRetry, "no server of the service is ready")
+	return refuser.NewWithRetryAfter(refuser.ReasonNoUpstream, noUpstreamRetry, "no server of the service is ready")
 }
 
 // nextAttempt returns the next attempt of the call.
@@ -324,7 +324,7 @@
 	case refusal.Reason == refuser.ReasonQueueFull && p.QueueFullRefusals < maxQueueFullRefusals && !d.callerCanRetry(call):
 		return meter.RetryNotRun, true
 	case refusal.Reason == refuser.ReasonRetryBudget:
-		return meter.RetryElsewhere, p.OverBudget < maxOverBudget
+		return meter.RetryOverUpstreamBudget, p.OverBudget < maxOverBudget
 	case refusal.IsNotRun():
 		return meter.RetryNotRun, isLocalRefusal(refusal.Reason)
 	default:
@@ -352,8 +352,8 @@
 	switch {
 	case outcome.RetrySpent:
 		reason = meter.RetryRefusalNested
-	case p.Tries >= maxTries || p.Runs >= call.Attempts:
-		reason = meter.RetryRefusalTries
+	case p.AttemptCount >= maxCallAttempts || p.Runs >= call.Attempts:
+		reason = meter.RetryRefusalAttempts
 	case !d.Clock.Now().Before(call.Deadline):
 		reason = meter.RetryRefusalDeadline
 	case outcome.Reached() && !d.Retries.Spend(call.Neighbour):
--- a/internal/executor/run.go
+++ b/internal/executor/run.go
@@ -146,7 +146,7 @@
 	e.notifyPeers()
 }
 
-// classifyResult tells the limiter's answered and failed results apart. Answers with the status 429,
+// classifyResult distinguishes the limiter's answered and failed results. Answers with the status 429,
 // 502, 503 or 504 and most errors count as failed; a cancelled or shed request counts as answered.
 func (e *Executor) classifyResult(resp *fasthttp.Response, err error) limiter.Result {
 	if err != nil {
@@ -176,23 +176,23 @@
 		}
 		return refuser.New(refuser.ReasonNoUpstream, "the upstream takes no connection")
 	case errors.Is(err, ErrShed):
-		return refuser.Later(refuser.ReasonShed, sweepInterval, "the upstream has no room")
+		return refuser.NewWithRetryAfter(refuser.ReasonShed, sweepInterval, "the upstream has no room")
 	case errors.Is(err, ErrMisdirected):
 		e.OnUpstreamDown(instance)
 		return refuser.New(refuser.ReasonNoUpstream, "another instance has the upstream's address")
 	case errors.Is(err, forwarder.ErrTimeout):
-		return refuser.Unknown(refuser.ReasonDeadline, "the upstream did not answer before the deadline")
+		return refuser.NewPossiblyRun(refuser.ReasonDeadline, "the upstream did not answer before the deadline")
 	case errors.Is(err, forwarder.ErrCancelled):
-		return refuser.Unknown(refuser.ReasonCancelled, "the caller went away")
+		return refuser.NewPossiblyRun(refuser.ReasonCancelled, "the caller went away")
 	case errors.Is(err, forwarder.ErrForeign):
-		return refuser.Unknown(refuser.ReasonUpstreamFailed, "the upstream's answer belongs to another request or is not its own")
+		return refuser.NewPossiblyRun(refuser.ReasonUpstreamFailed, "the upstream's answer belongs to another request or is not its own")
 	case errors.Is(err, forwarder.ErrTooLong):
-		return refuser.Unknown(refuser.ReasonUpstreamFailed, "the upstream's answer is too long")
-	case errors.Is(err, forwarder.ErrUnframed):
-		return refuser.Unknown(refuser.ReasonUpstreamFailed, "the upstream's answer has no length")
+		return refuser.NewPossiblyRun(refuser.ReasonUpstreamFailed, "the upstream's answer is too long")
+	case errors.Is(err, forwarder.ErrNoLength):
+		return refuser.NewPossiblyRun(refuser.ReasonUpstreamFailed, "the upstream's answer has no length")
 	default:
 		e.reportCrash(ctx, instance)
-		return refuser.Unknown(refuser.ReasonUpstreamLost, "the upstream closed the connection before its whole answer")
+		return refuser.NewPossiblyRun(refuser.ReasonUpstreamLost, "the upstream closed the connection before its whole answer")
 	}
 }
 
@@ -259,7 +259,7 @@
 }
 
 // RecordNestedFailure records that a call nested in the given one has finally failed. The outcome of the given call
-// says so, so that no caller above retries it again.
+// reports this in RetrySpent, so that no caller further up retries it again.
 func (e *Executor) RecordNestedFailure(call string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/executor/wait.go
+++ b/internal/executor/wait.go
@@ -26,7 +26,7 @@
 		}
 		e.Meter.Event("bindings_undone")
 	}
-	return carrier.Outcome{Refusal: refuser.Later(refuser.ReasonQueueFull, sweepInterval, "no sibling kept its promised slot")}
+	return carrier.Outcome{Refusal: refuser.NewWithRetryAfter(refuser.ReasonQueueFull, sweepInterval, "no sibling kept its promised slot")}
 }
 
 // awaitDecision submits the attempt to the scheduler and waits for its decision. It returns a refusal when
@@ -168,7 +168,7 @@
 	Grant uint64 `json:"grant"`
 }
 
-// PullReply says whether a request was bound to the offered slot, and if so, gives its class.
+// PullReply reports whether a request was bound to the offered slot, and if so, gives its class.
 type PullReply struct {
 	Bound     bool   `json:"bound"`
 	Neighbour string `json:"neighbour,omitempty"`
--- a/internal/meter/meter.go
+++ b/internal/meter/meter.go
@@ -16,9 +16,9 @@
 
 // The reasons for retries and hedges.
 const (
-	// RetryElsewhere is the reason if a node did not accept the attempt because its upstream has reached its
+	// RetryOverUpstreamBudget is the reason if a node did not accept the attempt because its upstream has reached its
 	// limit of retries.
-	RetryElsewhere RetryReason = "over-upstream-budget"
+	RetryOverUpstreamBudget RetryReason = "over-upstream-budget"
 	// RetryFailed is the reason if an attempt of an idempotent request failed.
 	RetryFailed RetryReason = "idempotent-failed"
 	// RetryHandedBack is the reason if a node handed the attempt back.
@@ -42,11 +42,11 @@
 	RetryRefusalDeadline RetryRefusal = "deadline"
 	// RetryRefusalNested is the reason if a nested call failed, which must not be retried again by its parent.
 	RetryRefusalNested RetryRefusal = "spent-below"
-	// RetryRefusalTries is the reason if the call has used all its attempts.
-	RetryRefusalTries RetryRefusal = "tries"
-	// RetryRefusalUpstream is the reason if none of the nodes that were asked could accept the attempt within its
+	// RetryRefusalAttempts is the reason if the call has used all its attempts.
+	RetryRefusalAttempts RetryRefusal = "tries"
+	// RetryRefusalUpstreamBudget is the reason if none of the nodes that were asked could accept the attempt within its
 	// upstream's limit of retries.
-	RetryRefusalUpstream RetryRefusal = "upstream-budget"
+	RetryRefusalUpstreamBudget RetryRefusal = "upstream-budget"
 )
 
 // Meter holds the metrics of one node. It is safe for concurrent use.
@@ -64,10 +64,10 @@
 	for _, reason := range refuser.Reasons() {
 		m.refusalCounter(reason)
 	}
-	for _, reason := range []RetryReason{RetryElsewhere, RetryFailed, RetryHandedBack, RetryHedge, RetryNotRun, RetrySlow} {
+	for _, reason := range []RetryReason{RetryOverUpstreamBudget, RetryFailed, RetryHandedBack, RetryHedge, RetryNotRun, RetrySlow} {
 		m.retryCounter(reason)
 	}
-	for _, reason := range []RetryRefusal{RetryRefusalBudget, RetryRefusalDeadline, RetryRefusalNested, RetryRefusalTries, RetryRefusalUpstream} {
+	for _, reason := range []RetryRefusal{RetryRefusalBudget, RetryRefusalDeadline, RetryRefusalNested, RetryRefusalAttempts, RetryRefusalUpstreamBudget} {
 		m.retryRefusalCounter(reason)
 	}
 	return m
@@ -130,8 +130,8 @@
 	m.histograms.GetOrCreateHistogram("marigoldrelay_load_age_seconds").Update(loadAge.Seconds())
 }
 
-// Count implements messenger.Meter. It adds bytes of control traffic that were sent for a purpose.
-func (m *Meter) Count(purpose string, bytes int) {
+// AddControlBytes implements messenger.ByteCounter. It adds bytes of control traffic that were sent for a purpose.
+func (m *Meter) AddControlBytes(purpose string, bytes int) {
 	m.set.GetOrCreateCounter(fmt.Sprintf(`marigoldrelay_control_bytes_total{purpose=%q}`, purpose)).Add(bytes)
 }
 
--- a/internal/relayer/atmostonce_test.go
+++ b/internal/relayer/atmostonce_test.go
@@ -27,7 +27,7 @@
 // target nodes.
 type testCluster struct {
 	*demonstrator.Deployment
-	entry   *demonstrator.Station
+	entry   *demonstrator.DeployedNode
 	t       *testing.T
 	network *proxyNetwork
 }
@@ -45,9 +45,9 @@
 	}
 	t.Cleanup(d.Close)
 	c := &testCluster{Deployment: d, t: t, network: network}
-	c.entry = addStation(t, d, demonstrator.Place{DataCentre: "flacq", Name: "entry"})
+	c.entry = addNode(t, d, demonstrator.NodeSpec{DataCentre: "flacq", Name: "entry"})
 	for i := range targets {
-		addStation(t, d, demonstrator.Place{
+		addNode(t, d, demonstrator.NodeSpec{
 			Behaviour: behaviour, DataCentre: "flacq", Name: fmt.Sprintf("target-%d", i), Service: "entries",
 		})
 	}
@@ -116,7 +116,7 @@
 	return sendCall(c.t, c.entry.Settings.CallerAddress, fasthttp.MethodPost, id, "", timeout)
 }
 
-// checkAtMostOnce compares what the caller was told with how often the request ran.
+// checkAtMostOnce compares the result that the caller got with how often the request ran.
 func (c *testCluster) checkAtMostOnce(id string, got callResult) {
 	c.t.Helper()
 	ran := c.Journal.Count(id)
@@ -146,7 +146,7 @@
 // TestAtMostOnceWhenConnectionBreaks cuts or silences the connection between the nodes at each stage of a call. It
 // guards against a request that runs twice, and against an answer that is wrong about whether it ran.
 func TestAtMostOnceWhenConnectionBreaks(t *testing.T) {
-	slow := responder.Behaviour{Service: 200 * time.Millisecond, Slots: 4, Steady: true}
+	slow := responder.Behaviour{ServiceTime: 200 * time.Millisecond, Slots: 4, Steady: true}
 	tests := []struct {
 		name string
 		// watch returns the functions that see the requests and the answers.
@@ -197,8 +197,8 @@
 // TestAtMostOnceWhenTargetDies kills and restarts the node that runs the request. The caller must soon learn that
 // the outcome is unknown.
 func TestAtMostOnceWhenTargetDies(t *testing.T) {
-	c := newTestCluster(t, 1, responder.Behaviour{Service: 500 * time.Millisecond, Slots: 4, Steady: true})
-	target := c.Station(1)
+	c := newTestCluster(t, 1, responder.Behaviour{ServiceTime: 500 * time.Millisecond, Slots: 4, Steady: true})
+	target := c.Node(1)
 	restarted := make(chan struct{})
 	time.AfterFunc(150*time.Millisecond, func() {
 		defer close(restarted)
@@ -221,12 +221,12 @@
 // TestAtMostOnceWhenUpstreamCrashes crashes the upstream in the middle of the request. The caller must learn that
 // the outcome is unknown.
 func TestAtMostOnceWhenUpstreamCrashes(t *testing.T) {
-	c := newTestCluster(t, 2, responder.Behaviour{Service: 500 * time.Millisecond, Slots: 4, Steady: true})
+	c := newTestCluster(t, 2, responder.Behaviour{ServiceTime: 500 * time.Millisecond, Slots: 4, Steady: true})
 	crashed := make(chan struct{})
 	time.AfterFunc(150*time.Millisecond, func() {
 		defer close(crashed)
-		c.Station(1).Upstream.Crash()
-		c.Station(2).Upstream.Crash()
+		c.Node(1).Upstream.Crash()
+		c.Node(2).Upstream.Crash()
 	})
 	got := c.post("crashed", 4*time.Second)
 	<-crashed
@@ -239,8 +239,8 @@
 // TestIdempotencyKeyRunsOnce repeats a request with its idempotency key: concurrently, later and at another node.
 // The request must run once, and all repeats must get its answer.
 func TestIdempotencyKeyRunsOnce(t *testing.T) {
-	c := newTestCluster(t, 3, responder.Behaviour{Service: 100 * time.Millisecond, Slots: 4, Steady: true})
-	other := c.Station(1).Settings.CallerAddress
+	c := newTestCluster(t, 3, responder.Behaviour{ServiceTime: 100 * time.Millisecond, Slots: 4, Steady: true})
+	other := c.Node(1).Settings.CallerAddress
 	var calls sync.WaitGroup
 	results := make([]callResult, 4)
 	for i := range results {
@@ -270,7 +270,7 @@
 // TestAtMostOnceWhenEntryDies kills the entry node during a request with an idempotency key, which the caller
 // repeats at another node.
 func TestAtMostOnceWhenEntryDies(t *testing.T) {
-	c := newTestCluster(t, 3, responder.Behaviour{Service: 300 * time.Millisecond, Slots: 4, Steady: true})
+	c := newTestCluster(t, 3, responder.Behaviour{ServiceTime: 300 * time.Millisecond, Slots: 4, Steady: true})
 	first := make(chan struct{})
 	go func() {
 		defer close(first)
@@ -294,7 +294,7 @@
 		}
 	})
 	<-first
-	got := sendCall(t, c.Station(2).Settings.CallerAddress, fasthttp.MethodPost, "orphan", "key-2", 4*time.Second)
+	got := sendCall(t, c.Node(2).Settings.CallerAddress, fasthttp.MethodPost, "orphan", "key-2", 4*time.Second)
 	c.checkAtMostOnce("orphan", got)
 	if !got.answered && got.problem.NotRun == refuser.NotRunTrue {
 		t.Errorf("got %s, want the answer or an unknown outcome", got)
@@ -303,7 +303,7 @@
 
 // TestReservedHeadersFromCallers sends headers that only nodes are allowed to set.
 func TestReservedHeadersFromCallers(t *testing.T) {
-	c := newTestCluster(t, 1, responder.Behaviour{Service: time.Millisecond, Slots: 4})
+	c := newTestCluster(t, 1, responder.Behaviour{ServiceTime: time.Millisecond, Slots: 4})
 	pool := forwarder.New(c.entry.Settings.CallerAddress, timekeeper.System{})
 	defer pool.Close()
 	req, resp := &fasthttp.Request{}, &fasthttp.Response{}
@@ -323,7 +323,7 @@
 			t.Errorf("the caller got the header %s", name)
 		}
 	}
-	peer := forwarder.New(c.Station(1).Settings.PeerAddress, timekeeper.System{})
+	peer := forwarder.New(c.Node(1).Settings.PeerAddress, timekeeper.System{})
 	defer peer.Close()
 	if err := peer.Do(t.Context(), &forwarder.Exchange{Deadline: time.Now().Add(5 * time.Second), Request: req, Response: resp}); err != nil {
 		t.Fatal(err)
--- a/internal/relayer/node.go
+++ b/internal/relayer/node.go
@@ -65,7 +65,7 @@
 	secrets  *settingsreader.Secrets
 	clock    timekeeper.Clock
 	baseLog  log.Logger
-	log      *logger.Part
+	log      *logger.Component
 
 	administrator    *administrator.Administrator
 	activateMu       sync.Mutex
@@ -122,12 +122,12 @@
 		clock:            timekeeper.System{},
 		differingPeers:   make(chan netip.AddrPort, 1),
 		baseLog:          baseLog,
-		log:              logger.NewPart(baseLog, "node"),
+		log:              logger.NewComponent(baseLog, "node"),
 		meter:            meter.New(),
 		crashReplayQueue: make(chan gossiper.Member, crashReplayQueueLen),
 		tracker:          conntracker.New(),
 	}
-	n.events = newEventLog(n.clock, n.settings.LogLines, n.log, n.meter)
+	n.events = newEventLog(n.clock, n.settings.LogLinesPerSecond, n.log, n.meter)
 	n.peakNodes = newPeakNodeCount(n.clock)
 	n.interpreter = interpreter.Native{}
 	n.parseDocument = validator.Parse
@@ -140,12 +140,12 @@
 	n.bindingBudget = budgeter.NewBytes(n.clock, bindingShare*defaultControlBytesPerSecond)
 	n.gossipBudget = budgeter.NewBytes(n.clock, gossipShare*defaultControlBytesPerSecond)
 	n.membershipBudget = budgeter.NewBytes(n.clock, membershipShare*defaultControlBytesPerSecond)
-	n.messenger = messenger.New(secrets.Key, controlByteMeter{n})
+	n.messenger = messenger.New(secrets.PeerSigner, controlByteCounter{n})
 	n.quarantiner = quarantiner.New(n.clock, n.requestQuarantined)
 	n.recorder = recorder.New(n.clock)
 	n.claimTable = claimer.NewTable(n.clock)
 	n.upstream = newLocalUpstream(n.clock, n.interpreter, func(load interpreter.Load) { n.executor.UpdateLoad(load) },
-		forwarder.WithMaxBody(settings.MaxBodyBytes), forwarder.WithUnframed())
+		forwarder.WithMaxBody(settings.MaxBodyBytes), forwarder.AcceptNoLength())
 	n.router = router.New(n.clock, newRandom(), n.policy, settings.Region, settings.DataCentre)
 	if err := n.buildRegister(); err != nil {
 		return nil, err
@@ -167,7 +167,7 @@
 	})
 	n.addMessageHandlers()
 	n.registerGauges()
-	asserter.Observe(func(name, detail string) {
+	asserter.SetFailureHandler(func(name, detail string) {
 		n.log.Error("An invariant failed.", "invariant", name, "detail", detail)
 	})
 	return n, nil
@@ -179,7 +179,7 @@
 }
 
 func (n *Node) buildGossiper() error {
-	codec, err := gossiper.NewCodec(n.secrets.Key)
+	codec, err := gossiper.NewCodec(n.secrets.PeerSigner)
 	if err != nil {
 		return err
 	}
@@ -207,7 +207,7 @@
 
 func (n *Node) buildCallPath() {
 	sender := fmt.Sprintf("%s.%x", n.settings.Name, n.incarnation)
-	n.carrier = carrier.New(n.clock, n.secrets.Key, sender, n.gossiper, n.meter, n.peerOptions...)
+	n.carrier = carrier.New(n.clock, n.secrets.PeerSigner, sender, n.gossiper, n.meter, n.peerOptions...)
 	peers := &peerClient{
 		messenger: n.messenger, self: n.settings.Name, siblings: n.router.Members,
 		sendLoad: func(entries []string, load gossiper.Load) {
@@ -229,7 +229,7 @@
 		Sender:         n.carrier,
 		Siblings:       &siblingDirectory{Router: n.router, gossiper: n.gossiper},
 		AddContext: func(a *carrier.Attempt, req *fasthttp.Request, instance string, deadline time.Time) {
-			carrier.WriteContext(n.secrets.Key, a, req, deadline)
+			carrier.WriteContext(n.secrets.PeerSigner, a, req, deadline)
 			n.interpreter.WriteHop(&req.Header, interpreter.Hop{
 				Caller: a.Caller, Instance: instance, Timeout: deadline.Sub(n.clock.Now()),
 			})
@@ -248,7 +248,7 @@
 		Meter:           n.meter,
 		Name:            sender,
 		ReadContext: func(req *fasthttp.Request) (carrier.Context, bool) {
-			return carrier.ReadContext(n.secrets.Key, req)
+			return carrier.ReadContext(n.secrets.PeerSigner, req)
 		},
 		AttemptFinder: n.executor,
 		Retries:       budgeter.NewRetries(n.retryRatio),
@@ -271,8 +271,8 @@
 	t.node.reportSiblingLoad(name, load)
 }
 
-// reportSiblingLoad passes the load that another node reports to the executor, if that node has learned with which
-// part of its slots the upstream gets most done.
+// reportSiblingLoad passes the load that another node reports to the executor, if that node has learned at which
+// fraction of its slots the upstream has the highest throughput.
 func (n *Node) reportSiblingLoad(name string, load carrier.Load) {
 	if load.BestSlotFraction == 0 || name == n.settings.Name {
 		return
@@ -341,20 +341,20 @@
 	}
 }
 
-// controlByteMeter counts the bytes of control connections and charges those for binding and membership to their
+// controlByteCounter counts the bytes of control connections and charges those for binding and membership to their
 // budgets.
-type controlByteMeter struct {
+type controlByteCounter struct {
 	node *Node
 }
 
-// Count implements messenger.Meter.
-func (m controlByteMeter) Count(purpose string, bytes int) {
-	m.node.meter.Count(purpose, bytes)
+// AddControlBytes implements messenger.ByteCounter.
+func (c controlByteCounter) AddControlBytes(purpose string, bytes int) {
+	c.node.meter.AddControlBytes(purpose, bytes)
 	switch purpose {
 	case messenger.PurposeBinding.String():
-		m.node.bindingBudget.Charge(bytes)
+		c.node.bindingBudget.Charge(bytes)
 	case messenger.PurposeMembership.String():
-		m.node.membershipBudget.Charge(bytes)
+		c.node.membershipBudget.Charge(bytes)
 	}
 }
 
@@ -363,7 +363,7 @@
 	if n.udpConn == nil {
 		return
 	}
-	n.meter.Count("gossip", len(datagram)+datagramHeaderBytes)
+	n.meter.AddControlBytes("gossip", len(datagram)+datagramHeaderBytes)
 	n.gossipBudget.Charge(len(datagram) + datagramHeaderBytes)
 	// A failed send is treated like a lost datagram.
 	_, _ = n.udpConn.WriteToUDPAddrPort(datagram, to)
--- a/internal/responder/responder.go
+++ b/internal/responder/responder.go
@@ -180,8 +180,8 @@
 	r.goroutines.Wait()
 }
 
-// Crash simulates a killed process: it closes the listener and every connection, and stops announcing. Further calls have no
-// effect.
+// Crash simulates a killed process: it closes the listener and every connection, and stops announcing. Further calls
+// have no effect.
 func (r *Responder) Crash() {
 	if r.crashed.Swap(true) {
 		return
@@ -314,7 +314,7 @@
 	if !r.behaviour.Steady {
 		factor *= r.random.ExpFloat64()
 	}
-	return time.Duration(float64(r.behaviour.Service) * factor)
+	return time.Duration(float64(r.behaviour.ServiceTime) * factor)
 }
 
 // HasCrashed reports whether Crash was called.
