--- a/internal/formserver/form.go
+++ b/internal/formserver/form.go
@@ -41,6 +41,7 @@
 }
 
 const (
+	// budgetField is the path of the form's only field outside the sections.
 	budgetField = "budgets.control-bytes-per-second"
 	// maxRows limits the rows of one section. A section for which a browser sends more is read as empty.
 	maxRows = 10000
--- a/internal/meter/meter.go
+++ b/internal/meter/meter.go
@@ -1,4 +1,4 @@
-// Package meter collects the metrics of one node, which it serves under /metrics.
+// Package meter collects the metrics that one node serves under /metrics.
 package meter
 
 import (
@@ -11,7 +11,7 @@
 	"github.com/marigoldrelay/marigoldrelay/internal/refuser"
 )
 
-// RetryReason is the reason for a retry or a hedge of an attempt.
+// RetryReason is the reason for a retry or a hedge.
 type RetryReason string
 
 // The reasons for retries and hedges.
@@ -40,7 +40,7 @@
 	RetryRefusalBudget RetryRefusal = "budget"
 	// RetryRefusalDeadline is the reason if the call's deadline has passed.
 	RetryRefusalDeadline RetryRefusal = "deadline"
-	// RetryRefusalNested is the reason if a nested call failed, which must not be retried again by its parent.
+	// RetryRefusalNested is the reason if a nested call of the attempt has failed after its own retries.
 	RetryRefusalNested RetryRefusal = "spent-below"
 	// RetryRefusalAttempts is the reason if the call has used all its attempts.
 	RetryRefusalAttempts RetryRefusal = "tries"
@@ -51,7 +51,7 @@
 
 // Meter holds the metrics of one node. It is safe for concurrent use.
 type Meter struct {
-	// histograms holds the histograms, which are written after the few counters and gauges.
+	// histograms is written after set, which has few lines.
 	histograms *metrics.Set
 	// set holds the counters and gauges.
 	set *metrics.Set
@@ -89,12 +89,12 @@
 	return m.set.GetOrCreateCounter(fmt.Sprintf(`marigoldrelay_arrivals_total{service=%q,try=%q}`, service, try))
 }
 
-// Arrived counts a request that the upstream beside the node has received.
+// Arrived counts a request that the upstream beside the node has received. Try is the kind of its attempt.
 func (m *Meter) Arrived(service, try string) {
 	m.arrivalCounter(service, try).Inc()
 }
 
-// ArrivalCount returns the number of requests of a service that the upstream beside the node has received.
+// ArrivalCount returns the number of requests that Arrived has counted for a service and a kind of attempt.
 func (m *Meter) ArrivalCount(service, try string) uint64 {
 	return m.arrivalCounter(service, try).Get()
 }
--- a/internal/relayer/eventlog.go
+++ b/internal/relayer/eventlog.go
@@ -19,9 +19,9 @@
 )
 
 const (
-	// routineDivisor is the fraction, as 1 in so many, of the allowed lines that can be on routine events.
+	// routineDivisor limits lines on routine events to maxPerSecond/routineDivisor in a second.
 	routineDivisor = 15
-	// traceDivisor is the fraction, as 1 in so many, of the requests of which every node logs all events.
+	// traceDivisor makes every node log all events of one in traceDivisor requests.
 	traceDivisor = 32
 )
 
@@ -35,7 +35,8 @@
 	log          *logger.Component
 	meter        *meter.Meter
 
-	mu      sync.Mutex
+	mu sync.Mutex
+	// routine and total count the lines that were allowed in second, a Unix time.
 	routine int
 	second  int64
 	total   int
--- a/internal/relayer/forming_test.go
+++ b/internal/relayer/forming_test.go
@@ -100,7 +100,7 @@
 			return
 		}
 	}
-	c.t.Fatalf("%s: not within %s", what, formingBound)
+	c.t.Fatalf("still waiting for %s after %s", what, formingBound)
 }
 
 // changeDocument makes a version through a node and retries until it succeeds.
--- a/internal/relayer/node.go
+++ b/internal/relayer/node.go
@@ -49,7 +49,7 @@
 	defaultControlBytesPerSecond = 7000.0
 	drainPollInterval            = 10 * time.Millisecond
 	drainTimeout                 = 30 * time.Second
-	// bindingShare, gossipShare and membershipShare are the fractions of that budget for each purpose.
+	// bindingShare, gossipShare and membershipShare are the fractions of the control traffic's budget for each purpose.
 	bindingShare    = 0.4
 	gossipShare     = 0.35
 	membershipShare = 0.15
@@ -67,11 +67,13 @@
 	baseLog  log.Logger
 	log      *logger.Component
 
-	administrator    *administrator.Administrator
-	activateMu       sync.Mutex
-	pullSources      chan gossiper.Member
-	bindingBudget    *budgeter.Bytes
-	carrier          *carrier.Carrier
+	administrator *administrator.Administrator
+	activateMu    sync.Mutex
+	// pullSources holds a member from which a newer document is to be fetched.
+	pullSources   chan gossiper.Member
+	bindingBudget *budgeter.Bytes
+	carrier       *carrier.Carrier
+	// differingPeers holds the control address of a member whose view of the members differs.
 	differingPeers   chan netip.AddrPort
 	claimTable       *claimer.Table
 	dispatcher       *dispatcher.Dispatcher
@@ -271,7 +273,7 @@
 	t.node.reportSiblingLoad(name, load)
 }
 
-// reportSiblingLoad passes the load that another node reports to the executor, if that node has learned at which
+// reportSiblingLoad passes to the executor the load that another node reports, if that node has learned at which
 // fraction of its slots the upstream has the highest throughput.
 func (n *Node) reportSiblingLoad(name string, load carrier.Load) {
 	if load.BestSlotFraction == 0 || name == n.settings.Name {
--- a/internal/relayer/peaknodecount.go
+++ b/internal/relayer/peaknodecount.go
@@ -7,9 +7,9 @@
 	"github.com/marigoldrelay/marigoldrelay/internal/timekeeper"
 )
 
-// peakNodeCount tracks how many nodes share the slack of a service: the highest number at once in the current window
-// and the one before. A peak is needed since a node that has gone may have used its share just before. It is safe
-// for concurrent use.
+// peakNodeCount tracks how many nodes share the retry slack of a service: the highest number at once in the current
+// window and the one before. A peak is needed since a node that has gone may have used its share just before. It is
+// safe for concurrent use.
 type peakNodeCount struct {
 	clock timekeeper.Clock
 
--- a/internal/relayer/peerclient.go
+++ b/internal/relayer/peerclient.go
@@ -17,14 +17,14 @@
 
 // RPC methods between nodes.
 const (
-	methodClaim   = "claim"
-	methodCrash   = "crash"
-	methodCleared = "innocent"
-	methodPull    = "pull"
-	methodRelease = "release"
-	methodReserve = "reserve"
-	methodSettle  = "settle"
-	methodSync    = "sync"
+	methodClaim   = "claim"    // Claims an idempotency key.
+	methodCrash   = "crash"    // Reports the crash of an upstream.
+	methodCleared = "innocent" // Reports that a crash suspect ran without a crash.
+	methodPull    = "pull"     // Offers a free slot to the home of a reservation.
+	methodRelease = "release"  // Gives up the claim of a request that has not run.
+	methodReserve = "reserve"  // Asks a sibling for a reservation.
+	methodSettle  = "settle"   // Stores the outcome of a claimed request.
+	methodSync    = "sync"     // Compares the member lists.
 )
 
 const crashReportTimeout = 200 * time.Millisecond
--- a/internal/relayer/probernode.go
+++ b/internal/relayer/probernode.go
@@ -17,7 +17,7 @@
 	p.node.registrar.AddDiscovered(a)
 }
 
-// Report passes the load that the upstream itself reports to the executor.
+// Report passes to the executor the load that the upstream itself reports.
 func (p proberNode) Report(load interpreter.Load) {
 	p.node.executor.UpdateLoad(load)
 }
--- a/internal/relayer/register.go
+++ b/internal/relayer/register.go
@@ -33,8 +33,8 @@
 const (
 	learnInterval = time.Second
 	learnTimeout  = 3 * time.Second
-	// nonLeaderLearnDivisor is the fraction, as 1 in so many, of the intervals in which a replica that is not the
-	// leader runs a round, on average.
+	// nonLeaderLearnDivisor makes a replica that is not the leader run a round in one of nonLeaderLearnDivisor intervals,
+	// on average.
 	nonLeaderLearnDivisor = 4
 )
 
--- a/internal/relayer/repeatbudget_test.go
+++ b/internal/relayer/repeatbudget_test.go
@@ -28,7 +28,8 @@
 	Kinds   []requestKind `json:"kinds"`
 	// Call is the nested call that upstreams make while they run a request of a kind with calls.
 	Call requestKind `json:"call"`
-	// Strangers is the number of additional entry nodes that know the nodes of scheduling and no others.
+	// Strangers is the number of additional entry nodes that know the nodes of the service scheduling and no
+	// others.
 	Strangers int           `json:"strangers"`
 	Phases    []loadPhase   `json:"phases"`
 	Starts    []nodeRestart `json:"starts"`
@@ -63,8 +64,8 @@
 	Fail    float64 `json:"fail"`
 }
 
-// nodeRestart restarts a node. It knows the nodes in Knows, and no node knows of the restart. From Joins on, if that
-// is set, it knows all nodes and they know it.
+// nodeRestart restarts Node, which then knows the nodes in Knows, while no node knows of the restart. From Joins on,
+// if that is set, it knows all nodes and they know it.
 type nodeRestart struct {
 	At    validator.Duration `json:"at"`
 	Node  string             `json:"node"`
@@ -351,6 +352,6 @@
 	r := runScenario(t, "failing-nested-calls")
 	r.checkBudget(t)
 	if got := len(r.repeats["booking"]); got > 0 {
-		t.Errorf("%d runs of %d requests were repeated in vain", got, r.sent["date-lookup"])
+		t.Errorf("%d arrivals were repeats for %d requests, want none", got, r.sent["date-lookup"])
 	}
 }
--- a/internal/relayer/repeatlimits.go
+++ b/internal/relayer/repeatlimits.go
@@ -15,7 +15,8 @@
 	// minSlackNodes is the lowest number of nodes that the slack is divided by. It bounds the share of a node that
 	// knows hardly any others.
 	minSlackNodes = 4
-	// defaultRepeatWindow and defaultSlackShare apply if the document sets no bound for all nodes together.
+	// defaultRepeatWindow and defaultSlackShare, in repeats per node and window, apply if the document sets no bound for
+	// all nodes together.
 	defaultRepeatWindow = 10 * time.Second
 	defaultSlackShare   = 10
 )
--- a/internal/relayer/silent_test.go
+++ b/internal/relayer/silent_test.go
@@ -64,7 +64,7 @@
 				t.Errorf("%d calls were delayed by %d silent connections", delayed, count)
 			}
 			if m, _ := c.entry.Node.Member(c.Node(1).Spec.Name); !m.IsServing() {
-				t.Error("the server was marked down")
+				t.Error("the node was marked down")
 			}
 		})
 	}
--- a/internal/relayer/tasks.go
+++ b/internal/relayer/tasks.go
@@ -20,11 +20,11 @@
 )
 
 const (
-	// datagramHeaderBytes is added to the size of each datagram when its bytes are counted.
+	// datagramHeaderBytes is added for the IP and UDP headers when the bytes of a datagram are counted.
 	datagramHeaderBytes = 28
 	idleTimeout         = time.Minute
 	maxPeerBodyBytes    = 1 << 30
-	// peerHeaderBytes is added to the limit on a request's headers for those that nodes exchange.
+	// peerHeaderBytes is added to the limit on a caller's headers to allow for those that nodes add to its request.
 	peerHeaderBytes = 4096
 	readTimeout     = 30 * time.Second
 	// syncBudgetBytes must be left in the membership budget for a sync to start.
