--- a/internal/carrier/attempt.go
+++ b/internal/carrier/attempt.go
@@ -39,6 +39,7 @@
 // ErrUnsigned is the error for a request without a valid signature of a node of the deployment.
 var ErrUnsigned = merry.Sentinel("request is not signed by a node")
 
+// Purposes of signatures. A signature for one purpose is not valid for another.
 const (
 	purposeAttempt = "attempt"
 	purposeResolve = "resolve"
@@ -96,7 +97,7 @@
 	TryFirst Try = iota
 	// TryRetry is an attempt of a request that an upstream may have received before.
 	TryRetry
-	// TryBelowRetry is an attempt of a call that an upstream makes while it runs a retry.
+	// TryBelowRetry is an attempt of a call that is nested in a retry, at any depth.
 	TryBelowRetry
 )
 
--- a/internal/carrier/carrier.go
+++ b/internal/carrier/carrier.go
@@ -30,10 +30,13 @@
 	// maxPeerIdleTime is how long an idle connection to a peer can be reused. It is half of the time for which a
 	// node keeps idle connections from its peers open. It is this long because in a large fleet a node sends to the
 	// same peer only every few seconds.
-	maxPeerIdleTime   = 30 * time.Second
+	maxPeerIdleTime = 30 * time.Second
+	// resolveRetryDelay is the delay before an outcome is queried again after a failed query.
 	resolveRetryDelay = 50 * time.Millisecond
-	maxResolveWait    = time.Second
-	resolveTimeout    = maxResolveWait + time.Second
+	// maxResolveWait is how long a node that is queried about a running attempt waits for its end.
+	maxResolveWait = time.Second
+	// resolveTimeout is the timeout of one query.
+	resolveTimeout = maxResolveWait + time.Second
 )
 
 // Counter counts occurrences of named events.
--- a/internal/carrier/response_time.go
+++ b/internal/carrier/response_time.go
@@ -6,6 +6,7 @@
 )
 
 const (
+	// defaultResponseTimeout is the timeout until minSamples response times are known.
 	defaultResponseTimeout = time.Second
 	deviationFactor        = 4
 	// minResponseTimeout is longer than the periods for which an upstream on a shared VM is slow.
--- a/internal/claimer/claimer.go
+++ b/internal/claimer/claimer.go
@@ -25,7 +25,7 @@
 	majority = 2
 	// ownersPerKey is the number of nodes that own a key, if there are as many.
 	ownersPerKey = 3
-	// minPollInterval and maxPollInterval limit the delay, before jitter, between two attempts to claim a key.
+	// minPollInterval and maxPollInterval limit the delay, before jitter, after which a key is claimed again.
 	minPollInterval = 20 * time.Millisecond
 	maxPollInterval = 500 * time.Millisecond
 )
@@ -84,8 +84,8 @@
 }
 
 // Run implements dispatcher.Claims: it calls run when the key is claimed at enough of its owners. If an earlier
-// request with the key was answered, it returns that answer in resp. While another claim holds the key it retries
-// with exponential backoff and jitter until the call's deadline.
+// request with the key was answered, it returns that answer in resp. While another claim holds the key it claims
+// the key again, with exponential backoff and jitter, until the call's deadline.
 func (c *Claimer) Run(ctx context.Context, call *dispatcher.Call, req *fasthttp.Request, resp *fasthttp.Response, run func() *refuser.Refusal) *refuser.Refusal {
 	key := Key{Key: call.Key, Neighbour: call.Neighbour, Service: call.Service}
 	claim := Claim{
@@ -190,7 +190,7 @@
 		}
 	}
 	// Another claim known to any owner prevents the grant, however many owners granted this one. Of two
-	// concurrent claims both are released and retried.
+	// concurrent claims both are released and made again.
 	if other != nil {
 		return other, false
 	}
@@ -254,7 +254,7 @@
 }
 
 // jitter returns a delay below bound that depends on the claimant, so that two claimants that blocked each other
-// do not retry at the same time.
+// do not claim the key again at the same time.
 func jitter(claimant string, bound time.Duration) time.Duration {
 	return time.Duration(xxhash.Sum64String(claimant) % uint64(bound))
 }
--- a/internal/claimer/table.go
+++ b/internal/claimer/table.go
@@ -37,7 +37,7 @@
 	StateUnknown State = "unknown"
 )
 
-// Key identifies a request that a caller can repeat.
+// Key identifies a request that a caller can send again.
 type Key struct {
 	// Key is the caller's idempotency key. The same key of another neighbour, or for another service, is a
 	// different one.
--- a/internal/dispatcher/attempts.go
+++ b/internal/dispatcher/attempts.go
@@ -168,7 +168,7 @@
 }
 
 // usefulWait returns how long the call can wait in a queue and still be answered in time, or zero if the route
-// sets no target latency. If the caller has no time to retry, the limit is longer: it is better served late than
+// sets no target latency. A call whose caller has no time to retry can wait longer: it is better served late than
 // refused.
 func (d *Dispatcher) usefulWait(call *Call) time.Duration {
 	if call.TargetLatency == 0 {
--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -24,7 +24,8 @@
 const (
 	// defaultAttempts is the maximum number of upstreams that a request is sent to if its route sets none.
 	defaultAttempts = 4
-	maxDepth        = 16
+	// maxDepth is the maximum number of calls that one call can be nested in.
+	maxDepth = 16
 	// maxHandBacks is how often nodes can hand a request back. After that its attempts are not optional, so that
 	// a node has to keep it.
 	maxHandBacks = 3
@@ -75,7 +76,7 @@
 
 // Call is a caller's request with the settings of its route and the context inherited from its parent call.
 type Call struct {
-	// BelowRetry is true for a call that an upstream makes while it runs a retry.
+	// BelowRetry is true for a call that is nested in a retry, at any depth.
 	BelowRetry bool
 	// Attempts is the maximum number of upstreams that the request is sent to.
 	Attempts int
--- a/internal/dispatcher/hedge.go
+++ b/internal/dispatcher/hedge.go
@@ -17,12 +17,14 @@
 	// minHedgeDelayFactor is the minimum delay of a hedge that is sent before the high quantile to meet the target
 	// latency, in median latencies.
 	minHedgeDelayFactor = 2.5
-	hedgeQuantile       = 0.98
+	// hedgeQuantile is the quantile of a route's latencies that is called the high one here.
+	hedgeQuantile = 0.98
 	// hedgeDurationFactor is the time allowed for a hedge to meet the target latency, in median latencies.
 	hedgeDurationFactor = 1.5
-	maxHedgeAttempts    = 3
-	minHedgeDelay       = 5 * time.Millisecond
-	medianQuantile      = 0.5
+	// maxHedgeAttempts is the maximum number of targets that a hedge is sent to, one after the other.
+	maxHedgeAttempts = 3
+	minHedgeDelay    = 5 * time.Millisecond
+	medianQuantile   = 0.5
 )
 
 // latencyEstimates holds latency estimates for each pair of service and route. It is safe for concurrent use.
--- a/internal/executor/executor.go
+++ b/internal/executor/executor.go
@@ -36,7 +36,8 @@
 	// maxFailureRate is the failure rate above which reservations are declined.
 	maxFailureRate   = 0.2
 	reservationBytes = 600 // Size of a reservation, the pull and its reply together.
-	sweepInterval    = 50 * time.Millisecond
+	// sweepInterval is also the retry-after time of this package's refusals for lack of capacity.
+	sweepInterval = 50 * time.Millisecond
 )
 
 // Sender sends attempts to other nodes.
--- a/internal/gossiper/packet.go
+++ b/internal/gossiper/packet.go
@@ -40,7 +40,7 @@
 	Queued  int `cbor:"1,keyasint,omitempty"`
 	Running int `cbor:"2,keyasint,omitempty"`
 	Slots   int `cbor:"3,keyasint,omitempty"`
-	// SlowdownPercent is how much longer than usual requests take, in percent; zero if unknown.
+	// SlowdownPercent is the ratio of the current to the usual service time, in percent; zero if unknown.
 	SlowdownPercent int `cbor:"4,keyasint,omitempty"`
 	// BestSlotsPercent is the share of its slots, in percent, at which the upstream has its highest throughput;
 	// zero if its node has not learned it.
--- a/internal/gossiper/spread.go
+++ b/internal/gossiper/spread.go
@@ -96,7 +96,8 @@
 		if x.sendCount != y.sendCount {
 			return x.sendCount - y.sendCount
 		}
-		// Among updates sent equally often the newest goes first: a drain must not be delayed by a mass start.
+		// Among updates sent equally often the newest goes first, so that a drain is not delayed when many members
+		// start at once.
 		return y.order - x.order
 	})
 	limit := g.maxRetransmits()
--- a/internal/limiter/contention.go
+++ b/internal/limiter/contention.go
@@ -18,7 +18,8 @@
 	relearnInterval = time.Minute
 	// adoptedTTL is how long a lower limit that was learned at another upstream is used.
 	adoptedTTL = 10 * time.Second
-	// adoptionPause is how long after the start of such a trial no limit is adopted from another upstream.
+	// adoptionPause is how long no limit is adopted from another upstream once the slots above a lower limit
+	// are tried again.
 	adoptionPause = 2 * time.Second
 	// minSamples is the number of samples from which a mean counts as known.
 	minSamples = 16
@@ -76,7 +77,7 @@
 	// bestFraction is the best fraction of the slots as learned here; zero if it is not known.
 	bestFraction float64
 	classes      map[string]*classLatency
-	// adoptAfter is the end of a trial of the upper levels, before which nothing is adopted.
+	// adoptAfter is the time before which nothing is adopted, because the slots above the limit are tried again.
 	adoptAfter time.Time
 	// loweredAt is when the limit first fell below the slots since the last reset of the levels; zero if it
 	// has not.
--- a/internal/limiter/limiter.go
+++ b/internal/limiter/limiter.go
@@ -10,6 +10,8 @@
 )
 
 const (
+	// baselineSmoothing, failureSmoothing and recentSmoothing are the weights of a new sample in the baseline
+	// latency, the failure rate and the recent latency.
 	baselineSmoothing = 0.01
 	// decreaseFactor is the factor by which the limit is lowered, at most once per decreaseInterval.
 	decreaseFactor   = 0.7
@@ -36,8 +38,7 @@
 const (
 	// ResultAnswered is an answer that signals neither overload nor failure.
 	ResultAnswered Result = iota
-	// ResultFailed is an answer that signals overload, such as for a shed request, or failure; a timeout; or
-	// a lost connection.
+	// ResultFailed is an answer that signals overload or failure, a timeout, or a lost connection.
 	ResultFailed
 )
 
@@ -207,8 +208,8 @@
 	l.limit = math.Max(math.Min(l.limit, math.Max(minLimit, floor)), l.limit*decreaseFactor)
 }
 
-// raise increases the limit if at least half of it is in use: by 1 for each answer during the slow start, and by
-// about 1 for each round of limit answers after it.
+// raise increases the limit if at least half of it is in use: by 1 for each answer during the slow start, and
+// after it by about 1 for as many answers as the limit.
 func (l *Limiter) raise(running int) {
 	if float64(running) < l.limit/2 {
 		return
--- a/internal/replicator/bench_test.go
+++ b/internal/replicator/bench_test.go
@@ -38,7 +38,7 @@
 	return string(text)
 }
 
-// BenchmarkChange measures changes of a document of that size on 5 replicas with real files, and reports the
+// BenchmarkChange measures changes of a document of the size of fullSizeText on 5 replicas with real files, and reports the
 // size of the value after the last change.
 func BenchmarkChange(b *testing.B) {
 	c := newCluster(b, "a", "b", "c", "d", "e")
--- a/internal/replicator/value.go
+++ b/internal/replicator/value.go
@@ -18,7 +18,7 @@
 	maxHistoryTexts   = 2
 )
 
-// Replica identifies one voter. A VM that has lost its disk counts as a different replica, because
+// Replica identifies one replica of the register. A VM that has lost its disk counts as a different replica, because
 // its new disk has another id.
 type Replica struct {
 	DiskID string `json:"disk-id"`
@@ -179,8 +179,8 @@
 	return sorted
 }
 
-// Ballot is the number of one attempt to have a value accepted. Ballots are totally ordered across all
-// proposers: by number, then by the proposer's name. The zero ballot is below every other.
+// Ballot is the proposal number of Paxos. Ballots are totally ordered across all proposers: by number, then
+// by the proposer's name. The zero ballot is below every other.
 type Ballot struct {
 	Number   uint64 `json:"number"`
 	Proposer string `json:"proposer"`
--- a/internal/router/cheapest.go
+++ b/internal/router/cheapest.go
@@ -12,21 +12,25 @@
 	distanceCostFactor = 0.15
 	// defaultTargetLatency is used if the route sets no target latency.
 	defaultTargetLatency = 400 * time.Millisecond
-	failureCost          = 600 * time.Millisecond
-	fullCost             = 150 * time.Millisecond
-	loadCost             = 40 * time.Millisecond
+	// failureCost is multiplied by the failure rate.
+	failureCost = 600 * time.Millisecond
+	// fullCost is multiplied by the load, for a load of at least 1.
+	fullCost = 150 * time.Millisecond
+	// loadCost is multiplied by the square of the load.
+	loadCost = 40 * time.Millisecond
 	// reportLifetime is how long a target's load report is used, with linearly falling weight. In a large fleet an
 	// entry node gets reports of most targets less than once a second.
-	reportLifetime    = 2 * time.Second
+	reportLifetime = 2 * time.Second
+	// toleratedSlowCost is the cost of a slow target for a call that tolerates one, slowCost for other calls.
 	toleratedSlowCost = 100 * time.Millisecond
 	slowCost          = 250 * time.Millisecond
 	// jitterCost is the upper bound of a random cost that spreads calls over targets with equal costs.
 	jitterCost = 4 * time.Millisecond
 )
 
-// Cheapest picks the candidate with the lowest cost: the one from which a response is expected soonest, with a price
-// on traffic that leaves the data centre. It is made for upstreams that are slow for a fraction of a second at a time:
-// their nodes hand requests back, and callers use other nodes for a while.
+// Cheapest picks the candidate with the lowest cost: the one from which a response is expected soonest, with an added
+// cost for traffic that leaves the data centre. It is made for upstreams that are slow for a fraction of a second at a
+// time: their nodes hand attempts back, and entry nodes use other nodes for a while.
 type Cheapest struct{}
 
 // Pick implements Policy.
--- a/internal/router/policy.go
+++ b/internal/router/policy.go
@@ -19,7 +19,7 @@
 	Outstanding int
 	// ReportedLoad is the target's load as last reported: running and queued requests per slot.
 	ReportedLoad float64
-	// ReportAge is the age of that report, at most maxReportAge.
+	// ReportAge is the age of the target's last load report, at most maxReportAge.
 	ReportAge time.Duration
 	// Slow is true if the target's upstream was recently reported to be slow or a response of it was overdue.
 	Slow bool
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -248,7 +248,7 @@
 	return max(minWeight, math.Pow(speed, speedExponent)*success*success)
 }
 
-// PickForHandOff chooses another node of the service for a request that found no free slot. It picks one of the nearest
+// PickForHandOff chooses another node of the service for an attempt that found no free slot. It picks one of the nearest
 // nodes, and a slow or failing one seldom. It reports false if there is none.
 func (r *Router) PickForHandOff(service string, exclude []string) (gossiper.Member, bool) {
 	r.mu.Lock()
--- a/internal/scheduler/account.go
+++ b/internal/scheduler/account.go
@@ -41,6 +41,7 @@
 }
 
 const (
+	// rateSmoothing is the weight of a new window in the smoothed service rate of a rank.
 	rateSmoothing = 0.5
 	rateWindow    = 100 * time.Millisecond
 )
--- a/internal/scheduler/flow.go
+++ b/internal/scheduler/flow.go
@@ -2,16 +2,19 @@
 
 import "time"
 
-// flow is the queue and the slot-time account of one neighbour within one rank. The flows of a rank share it
-// by start-time fair queueing (Goyal, Vin and Cheng, 1996) with slot-time as the cost.
+// flow is the queue and the slot-time account of one neighbour within one rank. The flows of a rank share its
+// slot-time by start-time fair queueing (Goyal, Vin and Cheng, 1996).
 type flow struct {
-	backlog   time.Duration
+	// backlog is the expected slot-time of the queued requests.
+	backlog time.Duration
+	// finishTag is the tag at which the last charged request ends, in the unit of rankState.virtualTime.
 	finishTag float64
 	neighbour string
 	queue     []*Waiter
-	startTag  float64
-	slotTime  time.Duration
-	weight    float64
+	// startTag is the tag at which the next queued request starts, in the same unit.
+	startTag float64
+	slotTime time.Duration
+	weight   float64
 }
 
 func (f *flow) push(w *Waiter, virtualTime float64, cost time.Duration) {
--- a/internal/scheduler/order.go
+++ b/internal/scheduler/order.go
@@ -18,9 +18,9 @@
 	}
 }
 
-// next removes the waiter that is next by rank and share from the queue. Waiters that can no longer meet their
-// deadline are refused on the way, and so are those whose answer would come too late if others are queued. It
-// returns nil when no waiter is left.
+// next removes the waiter that is next by rank and share from the queue. It refuses the waiters before it that
+// can no longer meet their deadline and, if others are queued, those whose answer would come too late. It
+// returns nil when no waiter is left; requestsOnly skips reservations.
 func (s *Scheduler) next(now time.Time, requestsOnly bool) *Waiter {
 	for {
 		rank := s.nextRank(requestsOnly)
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -13,14 +13,21 @@
 )
 
 const (
-	costSmoothing     = 0.1
-	creditWindow      = 200 * time.Millisecond
-	defaultCost       = 10 * time.Millisecond
+	// costSmoothing is the weight of a new sample in the smoothed costs.
+	costSmoothing = 0.1
+	// creditWindow limits the credit and the debt of a rank, as a time of all slots.
+	creditWindow = 200 * time.Millisecond
+	// defaultCost is the initial value of the smoothed mean cost of all requests.
+	defaultCost = 10 * time.Millisecond
+	// defaultTargetWait is the target wait of a rank that the configuration does not have.
 	defaultTargetWait = time.Second
-	maxDebt           = 5 * time.Second
-	maxQueued         = 20000
-	minCost           = 10 * time.Microsecond
-	minRetryAfter     = 100 * time.Millisecond
+	// maxDebt limits the credit and the debt of a flow, in slot-time.
+	maxDebt = 5 * time.Second
+	// maxQueued is the maximum number of queued waiters, reservations included.
+	maxQueued = 20000
+	// minCost is the lower bound of an expected cost.
+	minCost       = 10 * time.Microsecond
+	minRetryAfter = 100 * time.Millisecond
 )
 
 // Rank is the configuration of one rank, a level of urgency.
@@ -251,8 +258,8 @@
 	s.checkInvariants()
 }
 
-// Sweep refuses every queued waiter whose deadline has passed, and those whose answer would come too late if
-// others are queued.
+// Sweep refuses every queued waiter whose deadline has passed and, if others are queued, those whose answer
+// would come too late.
 func (s *Scheduler) Sweep(now time.Time) {
 	for _, rank := range s.ranks {
 		for _, f := range rank.flows {
--- a/internal/scheduler/waiter.go
+++ b/internal/scheduler/waiter.go
@@ -23,6 +23,7 @@
 	Refusal *refuser.Refusal
 }
 
+// phase is the state of a waiter. A withdrawn waiter counts as refused.
 type phase int
 
 const (
@@ -47,6 +48,7 @@
 	// Decisions receives exactly one value for a waiter that Submit queued and Withdraw has not removed.
 	Decisions chan Decision
 
+	// charged is the expected cost that is charged or, while the waiter is queued, counted in the backlog.
 	charged time.Duration
 	phase   phase
 }
--- a/internal/validator/document.go
+++ b/internal/validator/document.go
@@ -8,7 +8,7 @@
 // Document is the whole configuration of a deployment.
 type Document struct {
 	Budgets Budgets `json:"budgets"`
-	// ControlReplicas lists the voters of the register; if it is empty, the register chooses them itself.
+	// ControlReplicas lists the replicas of the register; if it is empty, the nodes choose them.
 	ControlReplicas []ControlReplica `json:"control-replicas,omitempty"`
 	Limits          Limits           `json:"limits,omitzero"`
 	Neighbours      []Neighbour      `json:"neighbours"`
@@ -35,13 +35,13 @@
 	MaxHeaderBytes int      `json:"max-header-bytes,omitempty"`
 }
 
-// ControlReplica identifies one voter of the replicated register.
+// ControlReplica identifies one replica of the register.
 type ControlReplica struct {
 	VM     string `json:"vm"`
 	DiskID string `json:"disk-id"`
 }
 
-// Neighbour is a customer that shares the pool and whose use of it is accounted separately.
+// Neighbour is a customer that shares the upstreams with others and whose use of them is accounted separately.
 type Neighbour struct {
 	Name string `json:"name"`
 	// RetryRatio is the number of retries allowed per first attempt, from 0 to 1.
--- a/internal/validator/validator.go
+++ b/internal/validator/validator.go
@@ -17,9 +17,11 @@
 // Limits of a document and the values in it.
 const (
 	// MaxDocumentBytes is the size of the largest document that Parse accepts, 1 MiB.
-	MaxDocumentBytes   = 1 << 20
-	maxAttempts        = 100
-	maxDeadline        = 10 * time.Minute
+	MaxDocumentBytes = 1 << 20
+	maxAttempts      = 100
+	// maxDeadline limits deadlines, target latencies and the timeouts in Limits.
+	maxDeadline = 10 * time.Minute
+	// maxLimitBytes limits the sizes in Limits.
 	maxLimitBytes      = 1 << 30
 	maxNeighbours      = 1000
 	maxRanks           = 16
@@ -28,9 +30,11 @@
 	maxServices        = 1000
 	maxRetrySlack      = 1e6
 	maxSplitServices   = 100
-	maxWait            = time.Minute
-	maxWeight          = 1e6
-	minControlBytes    = 500
+	// maxWait limits target waits and the retry window.
+	maxWait   = time.Minute
+	maxWeight = 1e6
+	// minControlBytes is the lowest limit of control bytes per second.
+	minControlBytes = 500
 )
 
 // ErrInvalid is wrapped by every error of Parse and Validate.
